--- a/crates/admission/src/budget.rs
+++ b/crates/admission/src/budget.rs
@@ -1,36 +1,36 @@
 //! A bound on retries as a part of the first tries.
 
 /// The retries allowed at once, besides those earned.
-const BURST: u64 = 10;
+const MAX_SAVED: u64 = 10;
 
 /// The price of one retry, in the unit in which first tries earn.
-const PRICE: u64 = 100;
+const RETRY_TOKENS: u64 = 100;
 
 /// Retries earned by first tries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Budget {
-    held: u64,
+pub struct RetryBudget {
+    tokens: u64,
 }
 
-impl Default for Budget {
+impl Default for RetryBudget {
     fn default() -> Self {
         Self {
-            held: BURST * PRICE,
+            tokens: MAX_SAVED * RETRY_TOKENS,
         }
     }
 }
 
-impl Budget {
+impl RetryBudget {
     /// A first try earns `percent` of a retry.
     pub fn earn(&mut self, percent: u32) {
-        self.held = (self.held + u64::from(percent)).min(BURST * PRICE);
+        self.tokens = (self.tokens + u64::from(percent)).min(MAX_SAVED * RETRY_TOKENS);
     }
 
     /// Takes one retry, if there is one.
     pub fn spend(&mut self) -> bool {
-        match self.held.checked_sub(PRICE) {
+        match self.tokens.checked_sub(RETRY_TOKENS) {
             Some(rest) => {
-                self.held = rest;
+                self.tokens = rest;
                 true
             }
             None => false,
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -4,10 +4,10 @@
 //! of HTTP or of how the bounds of one router are worked out from what others do.
 
 pub mod budget;
-pub mod gate;
-mod lane;
+pub mod controller;
+mod flow;
 pub mod share;
 
-pub use budget::Budget;
-pub use gate::{Action, Ask, ClassBounds, Gate, Reason, SpaceBounds};
-pub use share::share;
+pub use budget::RetryBudget;
+pub use controller::{Action, Controller, ProfileBounds, Reason, Request, WorkspaceBounds};
+pub use share::limit_share;
--- a/crates/admission/tests/fair_queue.rs
+++ b/crates/admission/tests/fair_queue.rs
@@ -1,6 +1,8 @@
 //! Scripted arrivals and ends at one router, see `scenarios/queue.txt`, and properties of limits.
 
-use admission::{Action, Ask, Budget, ClassBounds, Gate, SpaceBounds, share};
+use admission::{
+    Action, Controller, ProfileBounds, Request, RetryBudget, WorkspaceBounds, limit_share,
+};
 use base::prelude::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -15,11 +17,11 @@
 
 #[derive(Default)]
 struct World {
-    gate: Gate,
+    controller: Controller,
     now: Millis,
     asked: Vec<(u64, ProfileName, WorkspaceName)>,
     running: Vec<Running>,
-    budget: Budget,
+    budget: RetryBudget,
 }
 
 impl World {
@@ -56,8 +58,8 @@
         let one = self.running.remove(i);
         let mut out = Vec::new();
         let held = self.now.since(one.started);
-        self.gate
-            .done(self.now, &one.profile, &one.workspace, held, &mut out);
+        self.controller
+            .release(self.now, &one.profile, &one.workspace, held, &mut out);
         format!("{} ends\n{}", one.ticket, self.carry_out(out))
     }
 }
@@ -78,25 +80,25 @@
                     String::new()
                 }
                 "profile" => {
-                    let bounds = ClassBounds {
+                    let bounds = ProfileBounds {
                         capacity: number("capacity", 1),
-                        queued: number("queued", 100),
+                        queue_limit: number("queued", 100),
                         priority: number("priority", 0) as u32,
-                        first: Millis(number("first", 0)),
+                        first_output: Millis(number("first", 0)),
                     };
                     world
-                        .gate
-                        .set_class(&ProfileName(text("name", "p")), bounds);
+                        .controller
+                        .set_profile(&ProfileName(text("name", "p")), bounds);
                     String::new()
                 }
                 "workspace" => {
-                    let bounds = SpaceBounds {
+                    let bounds = WorkspaceBounds {
                         share: number("share", 1) as u32,
                         limit: number("limit", 0),
                     };
                     world
-                        .gate
-                        .set_space(&WorkspaceName(text("name", "w")), bounds);
+                        .controller
+                        .set_workspace(&WorkspaceName(text("name", "w")), bounds);
                     String::new()
                 }
                 "ask" => {
@@ -105,7 +107,7 @@
                         let ticket = world.asked.len() as u64 + 1;
                         let profile = ProfileName(text("profile", "p"));
                         let workspace = WorkspaceName(text("name", "w"));
-                        let ask = Ask {
+                        let request = Request {
                             ticket,
                             profile: &profile,
                             workspace: &workspace,
@@ -114,7 +116,7 @@
                             is_admitted: case.args.contains_key("admitted"),
                         };
                         let mut out = Vec::new();
-                        world.gate.ask(world.now, &ask, &mut out);
+                        world.controller.arrive(world.now, &request, &mut out);
                         world
                             .asked
                             .push((ticket, profile.clone(), workspace.clone()));
@@ -124,13 +126,13 @@
                 }
                 "end" => (0..number("count", 1)).map(|_| world.end(0)).collect(),
                 "leave" => {
-                    world.gate.give_up(number("ticket", 0));
+                    world.controller.cancel(number("ticket", 0));
                     String::new()
                 }
                 "pass" => {
                     world.now = world.now + Millis(number("ms", 0));
                     let mut out = Vec::new();
-                    world.gate.tick(world.now, &mut out);
+                    world.controller.tick(world.now, &mut out);
                     world.carry_out(out)
                 }
                 "retries" => {
@@ -161,7 +163,7 @@
     /// for each group.
     #[test]
     fn limit_parts(limit in 1_u64..5_000, groups in proptest::collection::vec(1_u64..40, 1..4)) {
-        let part = |live: u64| (0..live).map(|rank| share(limit, rank, live)).sum::<u64>();
+        let part = |live: u64| (0..live).map(|rank| limit_share(limit, rank, live)).sum::<u64>();
         for live in &groups {
             prop_assert_eq!(part(*live), limit.max(*live));
         }
@@ -175,12 +177,12 @@
     fn one_answer(steps in proptest::collection::vec((0_u8..4, 0_u8..4, 0_u64..400), 1..120)) {
         let (capacity, limit) = (3, 2);
         let profile = ProfileName::from("p");
-        let mut gate = Gate::default();
-        let bounds = ClassBounds { capacity, queued: 6, priority: 0, first: Millis(50) };
-        gate.set_class(&profile, bounds);
+        let mut controller = Controller::default();
+        let bounds = ProfileBounds { capacity, queue_limit: 6, priority: 0, first_output: Millis(50) };
+        controller.set_profile(&profile, bounds);
         let names: Vec<WorkspaceName> = (0..4).map(|i| WorkspaceName(format!("w{i}"))).collect();
         for (i, name) in names.iter().enumerate() {
-            gate.set_space(name, SpaceBounds { share: i as u32 + 1, limit });
+            controller.set_workspace(name, WorkspaceBounds { share: i as u32 + 1, limit });
         }
         let mut now = Millis(0);
         let mut asks: Vec<(Millis, usize)> = Vec::new();
@@ -194,7 +196,7 @@
                 0 | 1 => {
                     let ticket = asks.len() as u64;
                     asks.push((now + Millis(500), usize::from(which)));
-                    let ask = Ask {
+                    let request = Request {
                         ticket,
                         profile: &profile,
                         workspace: &names[usize::from(which)],
@@ -202,14 +204,14 @@
                         deadline: now + Millis(500),
                         is_admitted: false,
                     };
-                    gate.ask(now, &ask, &mut out);
+                    controller.arrive(now, &request, &mut out);
                 }
                 2 if !running.is_empty() => {
                     let (ticket, at) = running.remove(usize::from(which) % running.len());
                     let name = &names[asks[ticket as usize].1];
-                    gate.done(now, &profile, name, now.since(at), &mut out);
+                    controller.release(now, &profile, name, now.since(at), &mut out);
                 }
-                _ => gate.tick(now, &mut out),
+                _ => controller.tick(now, &mut out),
             }
             for action in out {
                 let ticket = match action {
@@ -233,6 +235,6 @@
             }
         }
         prop_assert_eq!(answered.len(), asks.len());
-        prop_assert!(!gate.is_waiting());
+        prop_assert!(!controller.has_waiting());
     }
 }
--- a/crates/calls/src/batch.rs
+++ b/crates/calls/src/batch.rs
@@ -7,8 +7,8 @@
 use base::prelude::*;
 use serde::{Deserialize, Serialize};
 
-use crate::once::Expected;
-use crate::record::{Held, Record};
+use crate::record::{Record, VersionedRecord};
+use crate::submission::Expected;
 
 /// When a transaction is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -51,9 +51,9 @@
     /// It took effect and made this version.
     Committed(u64),
     /// It had no effect; the row is as given.
-    Found(Option<Held>),
+    Found(Option<VersionedRecord>),
     /// It may have taken effect, or may yet.
-    Failed,
+    Unconfirmed,
 }
 
 /// The answer to a transaction.
@@ -62,9 +62,9 @@
     /// It took effect; the versions in order of the writes.
     Committed(Vec<u64>),
     /// It had no effect; the writes whose condition did not hold, by index, and their rows.
-    Conflict(Vec<(usize, Option<Held>)>),
+    Conflict(Vec<(usize, Option<VersionedRecord>)>),
     /// There is no certain answer.
-    Failed,
+    Unconfirmed,
 }
 
 /// Writes that wait and transactions under way.
@@ -72,8 +72,8 @@
 pub struct Batcher {
     policy: Policy,
     queue: Vec<(Millis, Write)>,
-    flights: Vec<(u64, Vec<Write>)>,
-    last: u64,
+    in_flight: Vec<(u64, Vec<Write>)>,
+    last_number: u64,
 }
 
 impl Batcher {
@@ -82,8 +82,8 @@
         Self {
             policy,
             queue: Vec::new(),
-            flights: Vec::new(),
-            last: 0,
+            in_flight: Vec::new(),
+            last_number: 0,
         }
     }
 
@@ -99,14 +99,18 @@
 
     /// When the next transaction is due, as far as is known now.
     pub fn due(&self) -> Millis {
-        if self.flights.len() >= self.policy.inflight.max(1) {
+        if self.in_flight.len() >= self.policy.inflight.max(1) {
             return Millis::MAX;
         }
-        let open = || self.queue.iter().filter(|(_, w)| !self.is_flying(&w.key));
-        if open().count() >= self.policy.size.max(1) {
+        let ready = || {
+            self.queue
+                .iter()
+                .filter(|(_, w)| !self.is_in_flight(&w.key))
+        };
+        if ready().count() >= self.policy.size.max(1) {
             return Millis(0);
         }
-        open().map(|(at, _)| *at).min().unwrap_or(Millis::MAX)
+        ready().map(|(at, _)| *at).min().unwrap_or(Millis::MAX)
     }
 
     /// The transaction to send now, with its number.
@@ -117,42 +121,50 @@
         let mut writes: Vec<Write> = Vec::new();
         let mut rest = Vec::new();
         for (at, write) in std::mem::take(&mut self.queue) {
-            let is_twice = writes.iter().any(|w| w.key == write.key);
-            if is_twice || self.is_flying(&write.key) || writes.len() >= self.policy.size.max(1) {
+            let is_duplicate = writes.iter().any(|w| w.key == write.key);
+            if is_duplicate
+                || self.is_in_flight(&write.key)
+                || writes.len() >= self.policy.size.max(1)
+            {
                 rest.push((at, write));
             } else {
                 writes.push(write);
             }
         }
         self.queue = rest;
-        self.last += 1;
-        self.flights.push((self.last, writes.clone()));
-        Some((self.last, writes))
+        self.last_number += 1;
+        self.in_flight.push((self.last_number, writes.clone()));
+        Some((self.last_number, writes))
     }
 
     /// Takes in the answer to a transaction; returns what became of writes, by ticket.
     ///
     /// Writes that failed only for the sake of others go again at once.
     pub fn reply(&mut self, now: Millis, number: u64, reply: Reply) -> Vec<(u64, Verdict)> {
-        let Some(i) = self.flights.iter().position(|(n, _)| *n == number) else {
+        let Some(i) = self.in_flight.iter().position(|(n, _)| *n == number) else {
             return Vec::new();
         };
-        let (_, writes) = self.flights.remove(i);
+        let (_, writes) = self.in_flight.remove(i);
         match reply {
             Reply::Committed(versions) if versions.len() == writes.len() => writes
                 .iter()
                 .zip(versions)
                 .map(|(w, version)| (w.ticket, Verdict::Committed(version)))
                 .collect(),
-            Reply::Conflict(unmet) if !unmet.is_empty() => self.split(now, writes, unmet),
-            _ => writes.iter().map(|w| (w.ticket, Verdict::Failed)).collect(),
+            Reply::Conflict(conflicts) if !conflicts.is_empty() => {
+                self.resolve_conflict(now, writes, conflicts)
+            }
+            _ => writes
+                .iter()
+                .map(|w| (w.ticket, Verdict::Unconfirmed))
+                .collect(),
         }
     }
 
     /// How many writes wait or are under way.
     pub fn len(&self) -> usize {
-        let flying: usize = self.flights.iter().map(|(_, w)| w.len()).sum();
-        self.queue.len() + flying
+        let in_flight: usize = self.in_flight.iter().map(|(_, w)| w.len()).sum();
+        self.queue.len() + in_flight
     }
 
     /// Whether there are none.
@@ -160,30 +172,30 @@
         self.len() == 0
     }
 
-    fn split(
+    fn resolve_conflict(
         &mut self,
         now: Millis,
         writes: Vec<Write>,
-        mut unmet: Vec<(usize, Option<Held>)>,
+        mut conflicts: Vec<(usize, Option<VersionedRecord>)>,
     ) -> Vec<(u64, Verdict)> {
         let mut verdicts = Vec::new();
-        let mut again = Vec::new();
+        let mut retried = Vec::new();
         for (index, write) in writes.into_iter().enumerate() {
-            match unmet.iter().position(|(i, _)| *i == index) {
+            match conflicts.iter().position(|(i, _)| *i == index) {
                 Some(at) => {
-                    let (_, held) = unmet.swap_remove(at);
-                    verdicts.push((write.ticket, Verdict::Found(held)));
+                    let (_, row) = conflicts.swap_remove(at);
+                    verdicts.push((write.ticket, Verdict::Found(row)));
                 }
-                None => again.push((now, write)),
+                None => retried.push((now, write)),
             }
         }
-        again.append(&mut self.queue);
-        self.queue = again;
+        retried.append(&mut self.queue);
+        self.queue = retried;
         verdicts
     }
 
-    fn is_flying(&self, key: &str) -> bool {
-        let holds = |(_, writes): &(u64, Vec<Write>)| writes.iter().any(|w| w.key == key);
-        self.flights.iter().any(holds)
+    fn is_in_flight(&self, key: &str) -> bool {
+        let has_key = |(_, writes): &(u64, Vec<Write>)| writes.iter().any(|w| w.key == key);
+        self.in_flight.iter().any(has_key)
     }
 }
--- a/crates/calls/src/lib.rs
+++ b/crates/calls/src/lib.rs
@@ -4,6 +4,6 @@
 //! keeps the claims or of the connections over which calls are sent.
 
 pub mod batch;
-pub mod once;
 pub mod record;
-pub mod repeat;
+pub mod retry;
+pub mod submission;
--- a/crates/calls/src/record.rs
+++ b/crates/calls/src/record.rs
@@ -7,13 +7,13 @@
 use serde::{Deserialize, Serialize};
 
 /// What every row key of this crate starts with.
-pub const PREFIX: &str = "call/";
+pub const KEY_PREFIX: &str = "call/";
 
 /// The number of parts into which rows are divided, so that hosts can share their clearing.
-pub const PARTS: u64 = 64;
+pub const PARTITIONS: u64 = 64;
 
 /// What a key made by a router starts with; a key given by a caller is only looked up if it does.
-pub const MINTED: &str = "gsb-";
+pub const GENERATED_PREFIX: &str = "gsb-";
 
 /// One submission of a call to one router; no two share a token.
 #[derive(
@@ -82,7 +82,7 @@
 
 /// A row and the number of the write that made it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Held {
+pub struct VersionedRecord {
     /// The number of the write.
     pub version: u64,
     /// The value.
@@ -92,10 +92,13 @@
 /// The row of a call.
 pub fn row_key(service: &ServiceName, workspace: &WorkspaceName, key: &str) -> String {
     let name = format!("{service}/{workspace}/{key}");
-    format!("{}{name}", part_prefix(stable(name.as_bytes()) % PARTS))
+    format!(
+        "{}{name}",
+        partition_prefix(stable(name.as_bytes()) % PARTITIONS)
+    )
 }
 
-/// What the row keys of one part start with.
-pub fn part_prefix(part: u64) -> String {
-    format!("{PREFIX}{part:02x}/")
+/// What the row keys of one partition start with.
+pub fn partition_prefix(partition: u64) -> String {
+    format!("{KEY_PREFIX}{partition:02x}/")
 }
--- a/crates/calls/src/repeat.rs
+++ b/crates/calls/src/retry.rs
@@ -2,7 +2,7 @@
 
 use base::prelude::*;
 
-/// The tokens that one retry takes from a [`Budget`]; a call gives as many as its percentage.
+/// The tokens that one retry takes from a [`RetryBudget`]; a call gives as many as its percentage.
 const RETRY_TOKENS: u32 = 100;
 
 /// The most retries that a budget saves up.
@@ -10,11 +10,11 @@
 
 /// What all calls of a service share: retries in proportion to calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Budget {
+pub struct RetryBudget {
     tokens: u32,
 }
 
-impl Default for Budget {
+impl Default for RetryBudget {
     fn default() -> Self {
         Self {
             tokens: MAX_SAVED * RETRY_TOKENS,
@@ -22,91 +22,91 @@
     }
 }
 
-impl Budget {
+impl RetryBudget {
     /// Counts a call, which earns this percentage of a retry.
     pub fn earn(&mut self, percent: u32) {
         self.tokens = (self.tokens + percent).min(MAX_SAVED * RETRY_TOKENS);
     }
 
     /// Takes a retry, if there is one.
-    pub fn take(&mut self) -> bool {
-        let is_enough = self.tokens >= RETRY_TOKENS;
-        if is_enough {
+    pub fn spend(&mut self) -> bool {
+        let is_allowed = self.tokens >= RETRY_TOKENS;
+        if is_allowed {
             self.tokens -= RETRY_TOKENS;
         }
-        is_enough
+        is_allowed
     }
 }
 
-/// The tries of one call.
+/// The attempts of one call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Repeat {
-    tries: u32,
+pub struct Attempts {
+    count: u32,
     left: u32,
-    limit: Millis,
+    time_limit: Millis,
     deadline: Millis,
     avoid: Vec<BackendId>,
-    is_silent: bool,
+    has_timeout: bool,
 }
 
 /// How a try is to be made.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Try {
+pub struct Attempt {
     /// When it is given up.
-    pub until: Millis,
+    pub deadline: Millis,
     /// The servers that failed, taken only if there is no other.
     pub avoid: Vec<BackendId>,
     /// Whether no connection that was open before may be used.
-    pub is_fresh: bool,
+    pub new_connection: bool,
 }
 
 /// How a try failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
     /// The server refused, or the connection broke.
-    Broke,
+    Error,
     /// Nothing came in time.
-    Silent,
+    Timeout,
 }
 
-impl Repeat {
-    /// A call with at most this many tries of at most this length.
-    pub fn new(tries: u32, limit: Millis, deadline: Millis) -> Self {
+impl Attempts {
+    /// A call with at most this many attempts of at most this length.
+    pub fn new(limit: u32, time_limit: Millis, deadline: Millis) -> Self {
         Self {
-            tries: 0,
-            left: tries.max(1),
-            limit,
+            count: 0,
+            left: limit.max(1),
+            time_limit,
             deadline,
             avoid: Vec::new(),
-            is_silent: false,
+            has_timeout: false,
         }
     }
 
     /// The next try, if there is time and budget for one.
-    pub fn next(&mut self, now: Millis, budget: &mut Budget) -> Option<Try> {
+    pub fn next(&mut self, now: Millis, budget: &mut RetryBudget) -> Option<Attempt> {
         if self.left == 0 || now >= self.deadline {
             return None;
         }
-        if self.tries > 0 && !budget.take() {
+        if self.count > 0 && !budget.spend() {
             return None;
         }
-        self.tries += 1;
+        self.count += 1;
         self.left -= 1;
-        Some(Try {
-            until: (now + self.limit).min(self.deadline),
+        Some(Attempt {
+            deadline: (now + self.time_limit).min(self.deadline),
             avoid: self.avoid.clone(),
-            is_fresh: self.is_silent,
+            new_connection: self.has_timeout,
         })
     }
 
     /// Notes how a try at `backend` failed.
-    pub fn fail(&mut self, backend: BackendId, failure: Failure) {
-        self.is_silent |= failure == Failure::Silent;
+    pub fn record_failure(&mut self, backend: BackendId, failure: Failure) {
+        self.has_timeout |= failure == Failure::Timeout;
         self.avoid.push(backend);
     }
 
-    /// How many tries were made.
-    pub fn tries(&self) -> u32 {
-        self.tries
+    /// How many attempts were made.
+    pub fn count(&self) -> u32 {
+        self.count
     }
 }
--- a/crates/calls/src/once.rs
+++ b/crates/calls/src/submission.rs
@@ -8,27 +8,29 @@
 use serde::Serialize;
 use strum::{Display, IntoStaticStr};
 
-use crate::record::{Held, Outcome, Owner, State};
+use crate::record::{Outcome, Owner, State, VersionedRecord};
 
 /// The wait before a write or a choice that failed is tried again.
-const RETRY: Millis = Millis(50);
+const RETRY_DELAY: Millis = Millis(50);
 
 /// The wait between looks at a row that another submission holds.
-const POLL: Millis = Millis(100);
+const POLL_INTERVAL: Millis = Millis(100);
 
 /// How long a row is put in order after the caller has its answer.
-const CLOSE: Millis = Millis(60_000);
+const CLEANUP_LIMIT: Millis = Millis(60_000);
 
 /// How many looks find no row before the clearing of an abandoned claim ends.
-const CLEAR_LOOKS: u32 = 20;
+const MAX_EMPTY_READS: u32 = 20;
 
 /// Where a key comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub enum Origin {
+pub enum KeyOrigin {
     /// The caller chose it: other routers may have it too.
-    Given,
+    #[serde(rename = "Given")]
+    Caller,
     /// This router made it for this submission: no other router sends it.
-    Minted,
+    #[serde(rename = "Minted")]
+    Generated,
     /// A router made it for an earlier submission: it is only looked up.
     Foreign,
 }
@@ -48,21 +50,21 @@
     /// The write took effect and made this version.
     Committed(u64),
     /// The row is as given: the write had no effect, or the row was read.
-    Found(Option<Held>),
+    Found(Option<VersionedRecord>),
     /// The write or read has no certain answer.
-    Failed,
+    Unconfirmed,
     /// A backend server was chosen; the call is sent if the answer is [`Action::Send`].
-    Ready,
+    ServerReady,
     /// No backend server can be used now.
     NoServer,
     /// The chosen server certainly received nothing.
-    Unsent,
+    NotSent,
     /// The server answered.
     Answered(Outcome),
     /// The call was sent and has no usable answer.
-    Broke,
-    /// The time of [`Once::due`] has come.
-    Woke,
+    NoAnswer,
+    /// The time of [`Submission::due`] has come.
+    TimerFired,
 }
 
 /// What a write expects of the row.
@@ -82,9 +84,9 @@
     /// Take the row away, if it is at this version.
     Delete(u64),
     /// Read the row.
-    Look,
-    /// Choose a backend server and come back with [`Event::Ready`].
-    Pick,
+    Read,
+    /// Choose a backend server and come back with [`Event::ServerReady`].
+    SelectServer,
     /// Send the call now.
     Send,
     /// Tell the caller.
@@ -101,7 +103,7 @@
     /// It was not run and never will be under this key.
     NotRun,
     /// It may have run.
-    Unknown(Doubt),
+    Unknown(UnknownReason),
     /// The key belongs to another call.
     Reused,
 }
@@ -109,7 +111,7 @@
 /// Why it is not known whether a call ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Display, IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
-pub enum Doubt {
+pub enum UnknownReason {
     /// It was sent and its answer is lost.
     Lost,
     /// Another submission holds the key and has not ended.
@@ -147,43 +149,44 @@
 /// Once `phase` has left [`Phase::Claiming`], [`Phase::Holding`] and [`Phase::Waiting`] without
 /// reaching [`Phase::Sent`], no [`Action::Send`] follows.
 #[derive(Clone, Debug, Serialize)]
-pub struct Once {
+pub struct Submission {
     owner: Owner,
     digest: u64,
-    origin: Origin,
+    origin: KeyOrigin,
     times: Times,
     phase: Phase,
     /// The version of the own claim, once certain; none for a key made here.
     version: Option<u64>,
     /// The work that waits for its time.
     #[serde(skip)]
-    later: Option<(Millis, Action)>,
+    deferred: Option<(Millis, Action)>,
     /// The write that puts the row in order.
     #[serde(skip)]
-    closing: Option<(Expected, State)>,
-    looks: u32,
+    final_write: Option<(Expected, State)>,
+    #[serde(rename = "looks")]
+    empty_reads: u32,
 }
 
-impl Once {
+impl Submission {
     /// A submission and its first work.
-    pub fn new(owner: Owner, digest: u64, origin: Origin, times: Times) -> (Self, Action) {
+    pub fn new(owner: Owner, digest: u64, origin: KeyOrigin, times: Times) -> (Self, Action) {
         let (phase, action) = match origin {
-            Origin::Given => (Phase::Claiming, claim()),
-            Origin::Minted => (Phase::Holding, Action::Pick),
-            Origin::Foreign => (Phase::Waiting, Action::Look),
+            KeyOrigin::Caller => (Phase::Claiming, claim()),
+            KeyOrigin::Generated => (Phase::Holding, Action::SelectServer),
+            KeyOrigin::Foreign => (Phase::Waiting, Action::Read),
         };
-        let once = Self {
+        let submission = Self {
             owner,
             digest,
             origin,
             times,
             phase,
             version: None,
-            later: None,
-            closing: None,
-            looks: 0,
+            deferred: None,
+            final_write: None,
+            empty_reads: 0,
         };
-        (once, action)
+        (submission, action)
     }
 
     /// How far the submission is.
@@ -196,22 +199,22 @@
         self.digest
     }
 
-    /// When [`Event::Woke`] is due.
+    /// When [`Event::TimerFired`] is due.
     pub fn due(&self) -> Millis {
         let limit = match self.phase {
             Phase::Claiming | Phase::Holding => self.times.send_by,
             Phase::Sent | Phase::Cancelling | Phase::Waiting => self.times.deadline,
-            Phase::Closing | Phase::Clearing => self.times.deadline + CLOSE,
+            Phase::Closing | Phase::Clearing => self.times.deadline + CLEANUP_LIMIT,
             Phase::Over => Millis::MAX,
         };
-        let later = self.later.as_ref().map_or(Millis::MAX, |(at, _)| *at);
-        limit.min(later)
+        let deferred = self.deferred.as_ref().map_or(Millis::MAX, |(at, _)| *at);
+        limit.min(deferred)
     }
 
     /// Takes in an event.
-    pub fn on(&mut self, now: Millis, event: Event) -> Vec<Action> {
-        if event == Event::Woke {
-            return self.wake(now);
+    pub fn handle(&mut self, now: Millis, event: Event) -> Vec<Action> {
+        if event == Event::TimerFired {
+            return self.on_timer(now);
         }
         match self.phase {
             Phase::Claiming => self.claiming(now, event),
@@ -226,23 +229,25 @@
     }
 
     /// Acts on the time alone.
-    fn wake(&mut self, now: Millis) -> Vec<Action> {
+    fn on_timer(&mut self, now: Millis) -> Vec<Action> {
         let is_late = now >= self.times.send_by;
-        let is_over = now >= self.times.deadline;
+        let is_expired = now >= self.times.deadline;
         match self.phase {
-            Phase::Claiming if is_late => self.abandon(),
-            Phase::Holding if is_late => self.renounce(),
-            Phase::Sent if is_over => self.lose(),
-            Phase::Cancelling if is_over => self.doubt(Doubt::Store),
-            Phase::Waiting if is_over => self.doubt(Doubt::Busy),
-            Phase::Closing | Phase::Clearing if now >= self.times.deadline + CLOSE => self.end(),
-            _ => self.resume(now),
+            Phase::Claiming if is_late => self.cancel_unconfirmed(),
+            Phase::Holding if is_late => self.cancel_confirmed(),
+            Phase::Sent if is_expired => self.answer_lost(),
+            Phase::Cancelling if is_expired => self.answer_unknown(UnknownReason::Store),
+            Phase::Waiting if is_expired => self.answer_unknown(UnknownReason::Busy),
+            Phase::Closing | Phase::Clearing if now >= self.times.deadline + CLEANUP_LIMIT => {
+                self.end()
+            }
+            _ => self.run_deferred(now),
         }
     }
 
     /// Starts the work whose time has come.
-    fn resume(&mut self, now: Millis) -> Vec<Action> {
-        match self.later.take_if(|(at, _)| *at <= now) {
+    fn run_deferred(&mut self, now: Millis) -> Vec<Action> {
+        match self.deferred.take_if(|(at, _)| *at <= now) {
             Some((_, action)) => vec![action],
             None => Vec::new(),
         }
@@ -250,34 +255,36 @@
 
     fn claiming(&mut self, now: Millis, event: Event) -> Vec<Action> {
         match event {
-            Event::Committed(version) => self.hold(now, version),
-            Event::Found(Some(held)) if self.is_own_claim(&held) => self.hold(now, held.version),
-            Event::Found(Some(held)) => self.meet(now, held),
-            _ if now >= self.times.send_by => self.abandon(),
-            _ => self.delay(now + RETRY, claim()),
+            Event::Committed(version) => self.confirm_claim(now, version),
+            Event::Found(Some(row)) if self.is_own_claim(&row) => {
+                self.confirm_claim(now, row.version)
+            }
+            Event::Found(Some(row)) => self.resolve_row(now, row),
+            _ if now >= self.times.send_by => self.cancel_unconfirmed(),
+            _ => self.defer(now + RETRY_DELAY, claim()),
         }
     }
 
     /// The claim is certain.
-    fn hold(&mut self, now: Millis, version: u64) -> Vec<Action> {
+    fn confirm_claim(&mut self, now: Millis, version: u64) -> Vec<Action> {
         self.version = Some(version);
         if now >= self.times.send_by {
-            return self.renounce();
+            return self.cancel_confirmed();
         }
         self.enter(Phase::Holding);
-        vec![Action::Pick]
+        vec![Action::SelectServer]
     }
 
     fn holding(&mut self, now: Millis, event: Event) -> Vec<Action> {
         if now >= self.times.send_by {
-            return self.renounce();
+            return self.cancel_confirmed();
         }
         match event {
-            Event::Ready => {
+            Event::ServerReady => {
                 self.enter(Phase::Sent);
                 vec![Action::Send]
             }
-            Event::NoServer => self.delay(now + RETRY, Action::Pick),
+            Event::NoServer => self.defer(now + RETRY_DELAY, Action::SelectServer),
             _ => Vec::new(),
         }
     }
@@ -286,15 +293,15 @@
         match event {
             Event::Answered(outcome) => {
                 let mut actions = vec![Action::Answer(Answer::Fresh)];
-                actions.extend(self.close(self.expected(), State::Done(outcome)));
+                actions.extend(self.write_final(self.expected(), State::Done(outcome)));
                 actions
             }
-            Event::Unsent if now >= self.times.send_by => self.renounce(),
-            Event::Unsent => {
+            Event::NotSent if now >= self.times.send_by => self.cancel_confirmed(),
+            Event::NotSent => {
                 self.enter(Phase::Holding);
-                self.delay(now + RETRY, Action::Pick)
+                self.defer(now + RETRY_DELAY, Action::SelectServer)
             }
-            Event::Broke => self.lose(),
+            Event::NoAnswer => self.answer_lost(),
             _ => Vec::new(),
         }
     }
@@ -303,104 +310,106 @@
         match event {
             Event::Committed(_) => self.finish(Answer::NotRun),
             // The claim took effect after all; its owner, this submission, does not send.
-            Event::Found(Some(held)) if self.is_own_claim(&held) => {
-                self.version = Some(held.version);
-                self.renounce()
+            Event::Found(Some(row)) if self.is_own_claim(&row) => {
+                self.version = Some(row.version);
+                self.cancel_confirmed()
             }
-            Event::Found(Some(held)) => self.meet(now, held),
-            _ if now >= self.times.deadline => self.doubt(Doubt::Store),
-            _ => self.delay(now + RETRY, cancel()),
+            Event::Found(Some(row)) => self.resolve_row(now, row),
+            _ if now >= self.times.deadline => self.answer_unknown(UnknownReason::Store),
+            _ => self.defer(now + RETRY_DELAY, cancel()),
         }
     }
 
     fn waiting(&mut self, now: Millis, event: Event) -> Vec<Action> {
-        let may_claim = self.origin == Origin::Given && now < self.times.send_by;
+        let may_claim = self.origin == KeyOrigin::Caller && now < self.times.send_by;
         match event {
-            Event::Found(Some(held)) => self.meet(now, held),
+            Event::Found(Some(row)) => self.resolve_row(now, row),
             // The other submission gave its claim up and has told nobody that it was not run.
             Event::Found(None) if may_claim => {
                 self.enter(Phase::Claiming);
                 vec![claim()]
             }
-            _ if now >= self.times.deadline => self.doubt(Doubt::Busy),
-            _ => self.delay(now + POLL, Action::Look),
+            _ if now >= self.times.deadline => self.answer_unknown(UnknownReason::Busy),
+            _ => self.defer(now + POLL_INTERVAL, Action::Read),
         }
     }
 
     fn closing(&mut self, now: Millis, event: Event) -> Vec<Action> {
-        let Some((expected, state)) = self.closing.clone() else {
+        let Some((expected, state)) = self.final_write.clone() else {
             return self.end();
         };
         match event {
-            Event::Found(Some(held)) if self.is_own_claim(&held) => {
-                self.close(Expected::Version(held.version), state)
+            Event::Found(Some(row)) if self.is_own_claim(&row) => {
+                self.write_final(Expected::Version(row.version), state)
             }
-            Event::Failed => self.delay(now + RETRY, Action::Write(expected, state)),
+            Event::Unconfirmed => self.defer(now + RETRY_DELAY, Action::Write(expected, state)),
             _ => self.end(),
         }
     }
 
     fn clearing(&mut self, now: Millis, event: Event) -> Vec<Action> {
         match event {
-            Event::Found(Some(held)) if self.is_own_claim(&held) => {
-                vec![Action::Delete(held.version)]
+            Event::Found(Some(row)) if self.is_own_claim(&row) => {
+                vec![Action::Delete(row.version)]
             }
             Event::Found(Some(_)) | Event::Committed(_) => self.end(),
-            Event::Found(None) if self.looks >= CLEAR_LOOKS => self.end(),
+            Event::Found(None) if self.empty_reads >= MAX_EMPTY_READS => self.end(),
             Event::Found(None) => {
-                self.looks += 1;
-                self.delay(now + POLL, Action::Look)
+                self.empty_reads += 1;
+                self.defer(now + POLL_INTERVAL, Action::Read)
             }
-            _ => self.delay(now + RETRY, Action::Look),
+            _ => self.defer(now + RETRY_DELAY, Action::Read),
         }
     }
 
     /// Acts on a row that another submission wrote.
-    fn meet(&mut self, now: Millis, held: Held) -> Vec<Action> {
-        if held.record.digest != self.digest {
+    fn resolve_row(&mut self, now: Millis, row: VersionedRecord) -> Vec<Action> {
+        if row.record.digest != self.digest {
             return self.finish(Answer::Reused);
         }
-        match held.record.state {
+        match row.record.state {
             State::Done(outcome) => self.finish(Answer::Stored(outcome)),
             State::Cancelled => self.finish(Answer::NotRun),
-            State::Lost => self.finish(Answer::Unknown(Doubt::Lost)),
-            State::Running if now >= self.times.deadline => self.doubt(Doubt::Busy),
+            State::Lost => self.finish(Answer::Unknown(UnknownReason::Lost)),
+            State::Running if now >= self.times.deadline => {
+                self.answer_unknown(UnknownReason::Busy)
+            }
             State::Running => {
                 self.enter(Phase::Waiting);
-                self.delay(now + POLL, Action::Look)
+                self.defer(now + POLL_INTERVAL, Action::Read)
             }
         }
     }
 
     /// Gives up a claim that is not certain.
-    fn abandon(&mut self) -> Vec<Action> {
+    fn cancel_unconfirmed(&mut self) -> Vec<Action> {
         self.enter(Phase::Cancelling);
         vec![cancel()]
     }
 
     /// Gives up the certain right to send: nobody else ever has it.
-    fn renounce(&mut self) -> Vec<Action> {
+    fn cancel_confirmed(&mut self) -> Vec<Action> {
         let mut actions = vec![Action::Answer(Answer::NotRun)];
-        actions.extend(self.close(self.expected(), State::Cancelled));
+        actions.extend(self.write_final(self.expected(), State::Cancelled));
         actions
     }
 
     /// Ends a call that was sent and has no answer.
-    fn lose(&mut self) -> Vec<Action> {
-        let mut actions = vec![Action::Answer(Answer::Unknown(Doubt::Lost))];
-        actions.extend(self.close(self.expected(), State::Lost));
+    fn answer_lost(&mut self) -> Vec<Action> {
+        let mut actions = vec![Action::Answer(Answer::Unknown(UnknownReason::Lost))];
+        actions.extend(self.write_final(self.expected(), State::Lost));
         actions
     }
 
     /// Tells the caller that nothing certain is known.
-    fn doubt(&mut self, doubt: Doubt) -> Vec<Action> {
+    fn answer_unknown(&mut self, reason: UnknownReason) -> Vec<Action> {
         self.enter(Phase::Clearing);
-        vec![Action::Answer(Answer::Unknown(doubt)), Action::Look]
+        vec![Action::Answer(Answer::Unknown(reason)), Action::Read]
     }
 
-    fn close(&mut self, expected: Expected, state: State) -> Vec<Action> {
+    fn write_final(&mut self, expected: Expected, state: State) -> Vec<Action> {
         self.enter(Phase::Closing);
-        self.closing = Some((expected, state.clone()));
+        self.final_write = Some((expected, state.clone()));
         vec![Action::Write(expected, state)]
     }
 
@@ -414,22 +423,22 @@
         Vec::new()
     }
 
-    fn delay(&mut self, at: Millis, action: Action) -> Vec<Action> {
-        self.later = Some((at, action));
+    fn defer(&mut self, at: Millis, action: Action) -> Vec<Action> {
+        self.deferred = Some((at, action));
         Vec::new()
     }
 
     fn enter(&mut self, phase: Phase) {
         self.phase = phase;
-        self.later = None;
+        self.deferred = None;
     }
 
     fn expected(&self) -> Expected {
         self.version.map_or(Expected::Absent, Expected::Version)
     }
 
-    fn is_own_claim(&self, held: &Held) -> bool {
-        held.record.owner == self.owner && held.record.state == State::Running
+    fn is_own_claim(&self, row: &VersionedRecord) -> bool {
+        row.record.owner == self.owner && row.record.state == State::Running
     }
 }
 
--- a/crates/calls/tests/claim_batches.rs
+++ b/crates/calls/tests/claim_batches.rs
@@ -2,8 +2,8 @@
 
 use base::prelude::*;
 use calls::batch::{Batcher, Policy, Reply, Verdict, Write};
-use calls::once::Expected;
-use calls::record::{Held, Owner, Record, State};
+use calls::record::{Owner, Record, State, VersionedRecord};
+use calls::submission::Expected;
 use datadriven::walk;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -65,7 +65,7 @@
             let one = |w: &&str| (w.parse().expect("an index"), Some(held(7, 99)));
             Reply::Conflict(words[1..].iter().map(one).collect())
         }
-        _ => Reply::Failed,
+        _ => Reply::Unconfirmed,
     }
 }
 
@@ -73,7 +73,7 @@
     match verdict {
         Verdict::Committed(version) => format!("committed {version}"),
         Verdict::Found(held) => format!("found version {:?}", held.as_ref().map(|h| h.version)),
-        Verdict::Failed => "failed".to_owned(),
+        Verdict::Unconfirmed => "failed".to_owned(),
     }
 }
 
@@ -86,7 +86,7 @@
     }
 }
 
-fn held(version: u64, number: u64) -> Held {
+fn held(version: u64, number: u64) -> VersionedRecord {
     let owner = Owner {
         router: Incarnation(1),
         number,
@@ -97,7 +97,7 @@
         until_ms: 0,
         state: State::Running,
     };
-    Held { version, record }
+    VersionedRecord { version, record }
 }
 
 proptest! {
@@ -117,26 +117,26 @@
             batcher.push(Millis(ticket as u64), write(ticket as u64, &format!("k{key}")));
         }
         let mut verdicts = Vec::new();
-        let mut flights = Vec::new();
+        let mut in_flight = Vec::new();
         for round in 0..1_000u64 {
             let now = Millis(1_000 + round);
-            while let Some(flight) = batcher.next(now) {
-                flights.push(flight);
+            while let Some(transaction) = batcher.next(now) {
+                in_flight.push(transaction);
             }
-            let Some((number, writes)) = flights.pop() else { break };
-            let unmet: Vec<_> = writes
+            let Some((number, writes)) = in_flight.pop() else { break };
+            let conflicts: Vec<_> = writes
                 .iter()
                 .enumerate()
                 .filter(|(_, w)| rows.iter().any(|(key, _)| *key == w.key))
                 .map(|(i, _)| (i, Some(held(1, 1))))
                 .collect();
             let is_lost = lost >> (round % 64) & 1 == 1;
-            let reply = if !unmet.is_empty() {
-                Reply::Conflict(unmet)
+            let reply = if !conflicts.is_empty() {
+                Reply::Conflict(conflicts)
             } else {
                 rows.extend(writes.iter().map(|w| (w.key.clone(), w.ticket)));
                 let versions = writes.iter().map(|w| w.ticket).collect();
-                if is_lost { Reply::Failed } else { Reply::Committed(versions) }
+                if is_lost { Reply::Unconfirmed } else { Reply::Committed(versions) }
             };
             verdicts.extend(batcher.reply(now, number, reply));
         }
--- a/crates/calls/tests/claim_faults.rs
+++ b/crates/calls/tests/claim_faults.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use calls::once::Origin;
+use calls::submission::KeyOrigin;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed, TestCaseError};
 use world::{Fate, Serve, World};
@@ -61,7 +61,13 @@
     let has = !world.calls.is_empty();
     match *step {
         Step::Submit(r, k) if !world.routers[r % ROUTERS].is_dead => {
-            world.submit(r % ROUTERS, KEYS[k % KEYS.len()], 0, Origin::Given, SPAN);
+            world.submit(
+                r % ROUTERS,
+                KEYS[k % KEYS.len()],
+                0,
+                KeyOrigin::Caller,
+                SPAN,
+            );
         }
         Step::Settle(i, fate) if has => world.settle(i % calls, fate),
         Step::Pick(i, found) if has => world.pick(i % calls, found),
--- a/crates/calls/tests/claim_scenarios.rs
+++ b/crates/calls/tests/claim_scenarios.rs
@@ -3,7 +3,7 @@
 mod world;
 
 use base::prelude::*;
-use calls::once::Origin;
+use calls::submission::KeyOrigin;
 use datadriven::walk;
 use world::{Fate, Serve, World};
 
@@ -40,9 +40,9 @@
     match words[0] {
         "call" => {
             let origin = match words.get(3) {
-                Some(&"minted") => Origin::Minted,
-                Some(&"foreign") => Origin::Foreign,
-                _ => Origin::Given,
+                Some(&"minted") => KeyOrigin::Generated,
+                Some(&"foreign") => KeyOrigin::Foreign,
+                _ => KeyOrigin::Caller,
             };
             let digest = u64::from(words.get(3) == Some(&"other-body"));
             world.submit(number(1), words[2], digest, origin, SPAN);
--- a/crates/calls/tests/world/mod.rs
+++ b/crates/calls/tests/world/mod.rs
@@ -1,8 +1,8 @@
 //! Several routers before a fake table and a fake backend server.
 
 use base::prelude::*;
-use calls::once::{Action, Answer, Event, Expected, Once, Origin, Phase, Times};
-use calls::record::{Body, Held, Outcome, Owner, Record, State};
+use calls::record::{Body, Outcome, Owner, Record, State, VersionedRecord};
+use calls::submission::{Action, Answer, Event, Expected, KeyOrigin, Phase, Submission, Times};
 
 /// What happens to a write or read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,8 +31,8 @@
 }
 
 /// One submission and the work under way for it.
-pub(crate) struct Submission {
-    pub(crate) once: Once,
+pub(crate) struct Call {
+    pub(crate) submission: Submission,
     pub(crate) key: String,
     pub(crate) router: usize,
     pub(crate) work: Option<Action>,
@@ -54,12 +54,12 @@
 pub(crate) struct World {
     pub(crate) now: Millis,
     pub(crate) routers: Vec<Router>,
-    pub(crate) calls: Vec<Submission>,
+    pub(crate) calls: Vec<Call>,
     /// Work whose sender has given it up.
     pub(crate) strays: Vec<(usize, Action)>,
     pub(crate) runs: Vec<String>,
     pub(crate) log: Vec<String>,
-    rows: Vec<(String, Held)>,
+    rows: Vec<(String, VersionedRecord)>,
     writes: u64,
     late_sends: usize,
 }
@@ -77,7 +77,7 @@
         router: usize,
         key: &str,
         digest: u64,
-        origin: Origin,
+        origin: KeyOrigin,
         span: u64,
     ) {
         let times = Times {
@@ -88,9 +88,9 @@
             router: Incarnation(router as u64),
             number: self.calls.len() as u64,
         };
-        let (once, action) = Once::new(owner, digest, origin, times);
-        self.calls.push(Submission {
-            once,
+        let (submission, action) = Submission::new(owner, digest, origin, times);
+        self.calls.push(Call {
+            submission,
             key: key.to_owned(),
             router,
             work: None,
@@ -110,7 +110,7 @@
     /// Ends the table work of a submission, if it has some.
     pub(crate) fn settle(&mut self, i: usize, fate: Fate) {
         let is_table =
-            |a: &mut Action| matches!(a, Action::Write(..) | Action::Delete(_) | Action::Look);
+            |a: &mut Action| matches!(a, Action::Write(..) | Action::Delete(_) | Action::Read);
         if !self.acts(i) {
             return;
         }
@@ -125,12 +125,12 @@
             Fate::Whole => self.carry_out(i, &action),
             Fate::Lost => {
                 self.carry_out(i, &action);
-                Event::Failed
+                Event::Unconfirmed
             }
-            Fate::Dropped => Event::Failed,
+            Fate::Dropped => Event::Unconfirmed,
             Fate::Stray => {
                 self.strays.push((i, action));
-                Event::Failed
+                Event::Unconfirmed
             }
         };
         self.feed(i, event);
@@ -138,9 +138,14 @@
 
     /// Chooses a backend server for a submission, or finds none.
     pub(crate) fn pick(&mut self, i: usize, is_found: bool) {
-        if self.acts(i) && self.calls[i].work.take_if(|a| *a == Action::Pick).is_some() {
+        if self.acts(i)
+            && self.calls[i]
+                .work
+                .take_if(|a| *a == Action::SelectServer)
+                .is_some()
+        {
             let event = if is_found {
-                Event::Ready
+                Event::ServerReady
             } else {
                 Event::NoServer
             };
@@ -158,8 +163,8 @@
         }
         let event = match serve {
             Serve::Answer => Event::Answered(outcome(i)),
-            Serve::Die | Serve::Vanish => Event::Broke,
-            Serve::Refuse => Event::Unsent,
+            Serve::Die | Serve::Vanish => Event::NoAnswer,
+            Serve::Refuse => Event::NotSent,
         };
         self.feed(i, event);
     }
@@ -181,8 +186,8 @@
     pub(crate) fn advance(&mut self, span: u64) {
         self.now = self.now + Millis(span);
         for i in 0..self.calls.len() {
-            if self.acts(i) && self.calls[i].once.due() <= self.now {
-                self.feed(i, Event::Woke);
+            if self.acts(i) && self.calls[i].submission.due() <= self.now {
+                self.feed(i, Event::TimerFired);
             }
         }
     }
@@ -219,7 +224,10 @@
         for (i, call) in self.calls.iter().enumerate() {
             let is_late = self.now >= call.times.deadline;
             if self.acts(i) && is_late && call.told.is_none() {
-                return Err(format!("s{i} was told nothing in {}", call.once.phase()));
+                return Err(format!(
+                    "s{i} was told nothing in {}",
+                    call.submission.phase()
+                ));
             }
         }
         Ok(())
@@ -237,7 +245,7 @@
 
     fn feed(&mut self, i: usize, event: Event) {
         let now = self.now;
-        let actions = self.calls[i].once.on(now, event);
+        let actions = self.calls[i].submission.handle(now, event);
         self.take(i, actions);
     }
 
@@ -255,7 +263,7 @@
             self.stray(i);
             self.calls[i].work = Some(action);
         }
-        if self.calls[i].once.phase() == Phase::Over {
+        if self.calls[i].submission.phase() == Phase::Over {
             self.stray(i);
         }
     }
@@ -263,7 +271,7 @@
     /// What is replaced may be on its way all the same.
     fn stray(&mut self, i: usize) {
         let work = self.calls[i].work.take();
-        if let Some(action) = work.filter(|a| !matches!(a, Action::Look | Action::Pick)) {
+        if let Some(action) = work.filter(|a| !matches!(a, Action::Read | Action::SelectServer)) {
             self.strays.push((i, action));
         }
     }
@@ -282,13 +290,13 @@
                 self.writes += 1;
                 let record = Record {
                     owner: self.calls[i].owner,
-                    digest: self.calls[i].once.digest(),
+                    digest: self.calls[i].submission.digest(),
                     until_ms: 0,
                     state: state.clone(),
                 };
                 let version = self.writes;
                 self.rows.retain(|(k, _)| *k != key);
-                self.rows.push((key, Held { version, record }));
+                self.rows.push((key, VersionedRecord { version, record }));
                 Event::Committed(version)
             }
             Action::Delete(version) if holds(&Expected::Version(*version)) => {
@@ -322,8 +330,8 @@
             format!("writes {} over its row", name(state))
         }
         Action::Delete(_) => "deletes its row".to_owned(),
-        Action::Look => "looks".to_owned(),
-        Action::Pick => "picks".to_owned(),
+        Action::Read => "looks".to_owned(),
+        Action::SelectServer => "picks".to_owned(),
         Action::Send => "sends".to_owned(),
         Action::Answer(Answer::Stored(o)) => format!("answers stored {:?}", o.body),
         Action::Answer(answer) => format!("answers {answer:?}"),
--- a/crates/gooseberry-router/src/admit.rs
+++ b/crates/gooseberry-router/src/admit.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-use admission::{Action, Ask, Budget, Gate, Reason};
+use admission::{Action, Controller, Reason, Request, RetryBudget};
 use base::prelude::*;
 use base::sorted::Sorted;
 use profiles::document::{Profile, Workspace};
@@ -36,9 +36,9 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    gate: Gate,
+    gate: Controller,
     waiting: Sorted<u64, oneshot::Sender<Verdict>>,
-    budgets: Sorted<ProfileName, Budget>,
+    budgets: Sorted<ProfileName, RetryBudget>,
 }
 
 /// A request that asks to be run.
@@ -74,7 +74,7 @@
     fn drop(&mut self) {
         let mut inner = self.router.admission.lock();
         if inner.waiting.remove(&self.number).is_some() {
-            inner.gate.give_up(self.number);
+            inner.gate.cancel(self.number);
         }
     }
 }
@@ -87,7 +87,7 @@
         let mut inner = self.router.admission.lock();
         inner
             .gate
-            .done(now, &self.profile, &self.workspace, held, &mut out);
+            .release(now, &self.profile, &self.workspace, held, &mut out);
         inner.answer(out);
     }
 }
@@ -121,7 +121,7 @@
     let mut ticks = router.timer.every(TICK);
     loop {
         let now = ticks.next().await;
-        if !router.admission.lock().gate.is_waiting() {
+        if !router.admission.lock().gate.has_waiting() {
             continue;
         }
         let snapshot = router.snapshot();
@@ -129,7 +129,7 @@
         let mut inner = router.admission.lock();
         for profile in &snapshot.document.profiles {
             let bounds = bounds::class(&router, &snapshot, profile);
-            inner.gate.set_class(&profile.name, bounds);
+            inner.gate.set_profile(&profile.name, bounds);
         }
         inner.gate.tick(now, &mut out);
         inner.answer(out);
@@ -140,14 +140,14 @@
     /// Takes one retry out of the budget of a profile, if there is one.
     pub fn retry(&self, profile: &ProfileName) -> bool {
         let mut inner = self.lock();
-        let budget = inner.budgets.entry(profile.clone(), Budget::default);
+        let budget = inner.budgets.entry(profile.clone(), RetryBudget::default);
         budget.spend()
     }
 
     /// The gate, for a state dump.
     pub fn dump(&self) -> Value {
         let inner = self.lock();
-        let classes = inner.gate.classes();
+        let classes = inner.gate.profiles();
         json!({ "classes": classes, "waiting": inner.waiting.len() })
     }
 
@@ -161,7 +161,7 @@
         let snapshot = router.snapshot();
         let class = bounds::class(router, &snapshot, entry.profile);
         let space = bounds::space(router, &snapshot, entry.workspace);
-        let ask = Ask {
+        let ask = Request {
             ticket,
             profile: &entry.profile.name,
             workspace: &entry.workspace.name,
@@ -171,12 +171,14 @@
         };
         let mut out = Vec::new();
         let mut inner = self.lock();
-        let budget = inner.budgets.entry(ask.profile.clone(), Budget::default);
+        let budget = inner
+            .budgets
+            .entry(ask.profile.clone(), RetryBudget::default);
         budget.earn(entry.profile.retry.percent);
         inner.waiting.insert(ticket, sender);
-        inner.gate.set_class(ask.profile, class);
-        inner.gate.set_space(ask.workspace, space);
-        inner.gate.ask(router.timer.now(), &ask, &mut out);
+        inner.gate.set_profile(ask.profile, class);
+        inner.gate.set_workspace(ask.workspace, space);
+        inner.gate.arrive(router.timer.now(), &ask, &mut out);
         inner.answer(out);
     }
 
--- a/crates/gooseberry-router/src/admit/bounds.rs
+++ b/crates/gooseberry-router/src/admit/bounds.rs
@@ -1,6 +1,6 @@
 //! This router's part of the limits, from the members of the system that it sees.
 
-use admission::{ClassBounds, SpaceBounds, share};
+use admission::{ProfileBounds, WorkspaceBounds, limit_share};
 use base::prelude::*;
 use peer::agent::HostView;
 use profiles::document::{Document, Profile, Workspace};
@@ -13,23 +13,27 @@
 const UNLIMITED: u64 = u32::MAX as u64;
 
 /// What this router may do under a profile.
-pub(super) fn class(router: &Router, snapshot: &Snapshot, profile: &Profile) -> ClassBounds {
+pub(super) fn class(router: &Router, snapshot: &Snapshot, profile: &Profile) -> ProfileBounds {
     let engines = carried(router, snapshot, profile);
     let capacity = match profile.limits.running {
         0 => engines,
         limit => engines.min(part(router, snapshot, limit, true)),
     };
-    ClassBounds {
+    ProfileBounds {
         capacity,
-        queued: profile.limits.queued,
+        queue_limit: profile.limits.queued,
         priority: profile.priority,
-        first: first(router, snapshot, profile),
+        first_output: first(router, snapshot, profile),
     }
 }
 
 /// What this router may do for a workspace.
-pub(super) fn space(router: &Router, snapshot: &Snapshot, workspace: &Workspace) -> SpaceBounds {
-    SpaceBounds {
+pub(super) fn space(
+    router: &Router,
+    snapshot: &Snapshot,
+    workspace: &Workspace,
+) -> WorkspaceBounds {
+    WorkspaceBounds {
         share: workspace.share,
         limit: match workspace.running {
             0 => 0,
@@ -96,5 +100,5 @@
     // A router that is not listed yet takes the last part.
     let rank = rank.unwrap_or(live.len());
     let count = live.len().max(rank + 1);
-    share(limit, rank as u64, count as u64)
+    limit_share(limit, rank as u64, count as u64)
 }
--- a/crates/gooseberry-router/src/claims.rs
+++ b/crates/gooseberry-router/src/claims.rs
@@ -8,8 +8,8 @@
 use base::sorted::Sorted;
 use cadence::prelude::*;
 use calls::batch::{Batcher, Reply, Verdict, Write};
-use calls::once::Expected;
-use calls::record::{Held, Owner, Record};
+use calls::record::{Owner, Record, VersionedRecord};
+use calls::submission::Expected;
 use serde_json::{Value, json};
 use store::client::Platform;
 use store::wire::{Expect, Found, Op, Outcome, Row, Transact, Write as Effect};
@@ -66,9 +66,9 @@
             record,
         };
         if self.to.send(Item { write, done }).is_err() {
-            return Verdict::Failed;
+            return Verdict::Unconfirmed;
         }
-        verdict.await.unwrap_or(Verdict::Failed)
+        verdict.await.unwrap_or(Verdict::Unconfirmed)
     }
 
     /// The receiving end; the task that writes takes it once.
@@ -103,9 +103,9 @@
         Ok(None) => Verdict::Found(None),
         Ok(Some(row)) => match held(row) {
             Some(held) => Verdict::Found(Some(held)),
-            None => Verdict::Failed,
+            None => Verdict::Unconfirmed,
         },
-        Err(_) => Verdict::Failed,
+        Err(_) => Verdict::Unconfirmed,
     }
 }
 
@@ -177,7 +177,7 @@
         Ok(Outcome::Committed(versions)) => Reply::Committed(versions),
         Ok(Outcome::Conflict(found)) => match found.into_iter().map(unmet).collect() {
             Some(unmet) => Reply::Conflict(unmet),
-            None => Reply::Failed,
+            None => Reply::Unconfirmed,
         },
         Err(cause) => {
             router.claims.failures.fetch_add(1, Ordering::Relaxed);
@@ -186,13 +186,13 @@
                 "claims not certain host={} cause=\"{cause}\"",
                 router.settings.host
             );
-            Reply::Failed
+            Reply::Unconfirmed
         }
     }
 }
 
 /// A row that did not meet its condition; `None` if it is not of this system's shape.
-fn unmet(found: Found) -> Option<(usize, Option<Held>)> {
+fn unmet(found: Found) -> Option<(usize, Option<VersionedRecord>)> {
     match found.row {
         None => Some((found.index, None)),
         Some(row) => Some((found.index, Some(held(row)?))),
@@ -200,9 +200,9 @@
 }
 
 /// Reads a row.
-pub fn held(row: Row) -> Option<Held> {
+pub fn held(row: Row) -> Option<VersionedRecord> {
     let record = serde_json::from_value(row.value).ok()?;
-    Some(Held {
+    Some(VersionedRecord {
         version: row.version,
         record,
     })
--- a/crates/gooseberry-router/src/services/clear.rs
+++ b/crates/gooseberry-router/src/services/clear.rs
@@ -7,7 +7,7 @@
 
 use base::hash::rendezvous;
 use base::prelude::*;
-use calls::record::{Body, Held, PARTS, State, part_prefix};
+use calls::record::{Body, PARTITIONS, State, VersionedRecord, partition_prefix};
 use store::wire::{Expect, Op, Scan, Transact, Write};
 use web::client::CallError;
 
@@ -24,7 +24,7 @@
 /// Clears for ever.
 pub async fn follow(router: Arc<Router>) {
     loop {
-        for part in 0..PARTS {
+        for part in 0..PARTITIONS {
             if is_own(&router, part) {
                 clear_part(&router, part).await;
                 router.timer.after(PAUSE).await;
@@ -37,7 +37,7 @@
 /// Whether this host clears `part`.
 fn is_own(router: &Router, part: u64) -> bool {
     let snapshot = router.snapshot();
-    let key = part_prefix(part);
+    let key = partition_prefix(part);
     let live = snapshot.hosts.iter().filter(|h| h.alive && !h.leaving);
     let first = live.max_by_key(|h| rendezvous(&key, h.host.as_str()));
     first.is_some_and(|h| h.host == router.settings.host)
@@ -47,7 +47,7 @@
 pub async fn clear_part(router: &Router, part: u64) {
     let mut after = String::new();
     loop {
-        match clear_page(router, part_prefix(part), &after).await {
+        match clear_page(router, partition_prefix(part), &after).await {
             Ok(Some(last)) => after = last,
             Ok(None) => return,
             Err(cause) => {
@@ -98,7 +98,7 @@
 }
 
 /// Takes away the body that a row names.
-async fn clear_object(router: &Router, held: &Held) -> Result<(), CallError> {
+async fn clear_object(router: &Router, held: &VersionedRecord) -> Result<(), CallError> {
     if let State::Done(outcome) = &held.record.state
         && let Body::Object(name) = &outcome.body
     {
--- a/crates/gooseberry-router/src/services/job.rs
+++ b/crates/gooseberry-router/src/services/job.rs
@@ -3,8 +3,8 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use base::prelude::*;
-use calls::once::{Origin, Times};
-use calls::record::{MINTED, row_key};
+use calls::record::{GENERATED_PREFIX, row_key};
+use calls::submission::{KeyOrigin, Times};
 use hyper::header::{HeaderName, HeaderValue};
 use profiles::document::{Profile, Service};
 use service::client::Call;
@@ -36,7 +36,7 @@
     /// The row that keeps the claim and the outcome.
     pub row: String,
     /// Where the key comes from.
-    pub origin: Origin,
+    pub origin: KeyOrigin,
     /// What makes two submissions of a key the same.
     pub digest: u64,
     /// What is sent.
@@ -112,16 +112,19 @@
     since.map_or(0, |d| u64::try_from(d.as_millis()).unwrap_or(u64::MAX))
 }
 
-fn origin(given: Option<&str>) -> Origin {
+fn origin(given: Option<&str>) -> KeyOrigin {
     match given {
-        None => Origin::Minted,
-        Some(key) if key.starts_with(MINTED) => Origin::Foreign,
-        Some(_) => Origin::Given,
+        None => KeyOrigin::Generated,
+        Some(key) if key.starts_with(GENERATED_PREFIX) => KeyOrigin::Foreign,
+        Some(_) => KeyOrigin::Caller,
     }
 }
 
 /// A key that no other submission has.
 fn mint(router: &Router) -> String {
     let number: u64 = rand::random();
-    format!("{MINTED}{:016x}{number:016x}", router.incarnation.0)
+    format!(
+        "{GENERATED_PREFIX}{:016x}{number:016x}",
+        router.incarnation.0
+    )
 }
--- a/crates/gooseberry-router/src/services/once.rs
+++ b/crates/gooseberry-router/src/services/once.rs
@@ -7,8 +7,8 @@
 use base::prelude::*;
 use cadence::prelude::*;
 use calls::batch::Verdict;
-use calls::once::{Action, Answer, Event, Expected, Once, Phase};
 use calls::record::{Owner, Record};
+use calls::submission::{Action, Answer, Event, Expected, Phase, Submission};
 use serde_json::json;
 use service::client::{Connection, Reply};
 use tokio::sync::oneshot;
@@ -32,7 +32,7 @@
 /// What came of one action.
 struct Done {
     event: Event,
-    /// The server and the connection, after [`Action::Pick`].
+    /// The server and the connection, after [`Action::SelectServer`].
     ready: Option<(Placed, Connection)>,
     /// A server that could not be reached.
     failed: Option<BackendId>,
@@ -90,7 +90,7 @@
     let (router, job) = (&context.router, &context.job);
     let number = router.registry.enter(&job.name);
     let start = router.timer.now();
-    let (mut once, first) = Once::new(context.owner, job.digest, job.origin, job.times);
+    let (mut once, first) = Submission::new(context.owner, job.digest, job.origin, job.times);
     let mut tell = Some(tell);
     let mut with = With::default();
     let mut work = Some(Box::pin(perform(context.clone(), first, With::default())));
@@ -101,13 +101,13 @@
                 work = None;
                 done
             }
-            () = router.timer.at(once.due()) => Done::from(Event::Woke),
+            () = router.timer.at(once.due()) => Done::from(Event::TimerFired),
         };
         with.ready = done.ready;
         with.avoid.extend(done.failed);
         with.reply = done.reply.or(with.reply);
         let before = once.phase();
-        for action in once.on(router.timer.now(), done.event) {
+        for action in once.handle(router.timer.now(), done.event) {
             if let Action::Answer(answer) = action {
                 note(&context, &answer);
                 let reply = with.reply.clone();
@@ -173,7 +173,7 @@
     match action {
         Action::Write(expected, state) => {
             if !outcome::keep_body(router, &state, with.reply.as_ref()).await {
-                return Event::Failed.into();
+                return Event::Unconfirmed.into();
             }
             let record = Record {
                 owner: context.owner,
@@ -189,10 +189,10 @@
             let expected = Expected::Version(version);
             event(router.claims.put(row, expected, None).await).into()
         }
-        Action::Look => event(claims::look(router, &job.row).await).into(),
-        Action::Pick => pick(router, job, &with.avoid).await,
+        Action::Read => event(claims::look(router, &job.row).await).into(),
+        Action::SelectServer => pick(router, job, &with.avoid).await,
         Action::Send => send(&context, with.ready).await,
-        Action::Answer(_) => Event::Woke.into(),
+        Action::Answer(_) => Event::TimerFired.into(),
     }
 }
 
@@ -205,7 +205,7 @@
     match Connection::open(seen.addr, CONNECT).await {
         Ok(connection) => Done {
             ready: Some((placed, connection)),
-            ..Event::Ready.into()
+            ..Event::ServerReady.into()
         },
         Err(cause) => {
             log::warn!(
@@ -228,7 +228,7 @@
 async fn send(context: &Context, ready: Option<(Placed, Connection)>) -> Done {
     let (router, job) = (&context.router, &context.job);
     let Some((mut placed, connection)) = ready else {
-        return Event::Unsent.into();
+        return Event::NotSent.into();
     };
     let limit = job.times.deadline.since(router.timer.now()).duration();
     match connection.call(job.call.clone(), limit).await {
@@ -237,7 +237,7 @@
             Done {
                 event: Event::Answered(outcome::outcome(job, &reply)),
                 reply: Some(reply),
-                ..Event::Woke.into()
+                ..Event::TimerFired.into()
             }
         }
         Err(cause) => {
@@ -248,7 +248,7 @@
                 router.settings.host,
                 placed.backend.seen.backend
             );
-            Event::Broke.into()
+            Event::NoAnswer.into()
         }
     }
 }
@@ -258,6 +258,6 @@
     match verdict {
         Verdict::Committed(version) => Event::Committed(version),
         Verdict::Found(held) => Event::Found(held),
-        Verdict::Failed => Event::Failed,
+        Verdict::Unconfirmed => Event::Unconfirmed,
     }
 }
--- a/crates/gooseberry-router/src/services/outcome.rs
+++ b/crates/gooseberry-router/src/services/outcome.rs
@@ -2,8 +2,8 @@
 
 use base::hash::stable;
 use base::prelude::*;
-use calls::once::{Answer, Doubt};
 use calls::record::{Body, Outcome, State};
+use calls::submission::{Answer, UnknownReason};
 use hyper::StatusCode;
 use hyper::header::{CONTENT_TYPE, HeaderValue};
 use serde::{Deserialize, Serialize};
@@ -160,19 +160,19 @@
     }
 }
 
-fn unknown(doubt: Doubt) -> CallerError {
+fn unknown(doubt: UnknownReason) -> CallerError {
     let (kind, message, retry_after) = match doubt {
-        Doubt::Lost => (
+        UnknownReason::Lost => (
             Kind::OutcomeUnknown,
             "the call was sent and its answer is lost; ask the service whether it ran",
             None,
         ),
-        Doubt::Busy => (
+        UnknownReason::Busy => (
             Kind::OutcomeUnknown,
             "another submission of the key has not ended; repeat the call with its key",
             Some(COME_BACK),
         ),
-        Doubt::Store => (
+        UnknownReason::Store => (
             Kind::StoreAway,
             "this host sent nothing, but cannot read whether another did; \
              repeat the call with its key",
--- a/crates/gooseberry-router/src/services/repeat.rs
+++ b/crates/gooseberry-router/src/services/repeat.rs
@@ -5,7 +5,7 @@
 use base::prelude::*;
 use base::sorted::Sorted;
 use cadence::prelude::*;
-use calls::repeat::{Budget, Failure, Repeat, Try};
+use calls::retry::{Attempt, Attempts, Failure, RetryBudget};
 use hyper::StatusCode;
 use peer::agent::BackendView;
 use profiles::document::Retry;
@@ -25,13 +25,13 @@
 /// The retries that the calls of each service have earned.
 #[derive(Debug, Default)]
 pub struct Budgets {
-    services: Mutex<Sorted<ServiceName, Budget>>,
+    services: Mutex<Sorted<ServiceName, RetryBudget>>,
 }
 
 impl Budgets {
-    fn with<T>(&self, service: &ServiceName, change: impl FnOnce(&mut Budget) -> T) -> T {
+    fn with<T>(&self, service: &ServiceName, change: impl FnOnce(&mut RetryBudget) -> T) -> T {
         let mut services = self.services.lock().unwrap_or_else(|e| e.into_inner());
-        change(services.entry(service.clone(), Budget::default))
+        change(services.entry(service.clone(), RetryBudget::default))
     }
 }
 
@@ -47,7 +47,7 @@
 pub async fn run(router: &Router, job: &Job, retry: &Retry) -> Response {
     let number = router.registry.enter(&job.name);
     let limit = Millis(retry.try_ms.max(1));
-    let mut call = Repeat::new(retry.tries, limit, job.times.deadline);
+    let mut call = Attempts::new(retry.tries, limit, job.times.deadline);
     let mut ran = Ran::NotRun;
     let mut response = None;
     router
@@ -60,18 +60,18 @@
                 break;
             }
             Err(Missed::Unsent(backend)) => {
-                call.fail(backend.unwrap_or_default(), Failure::Broke);
+                call.record_failure(backend.unwrap_or_default(), Failure::Error);
             }
             Err(Missed::Sent(backend, failure)) => {
                 ran = Ran::Unknown;
-                call.fail(backend, failure);
+                call.record_failure(backend, failure);
             }
         }
         log::warn!(
             "try failed key={} host={} tries={}",
             job.name,
             router.settings.host,
-            call.tries()
+            call.count()
         );
         // Metrics that cannot be sent are no concern of the caller.
         let _ = router.metrics.count("calls.try_failed", 1);
@@ -81,7 +81,7 @@
 }
 
 /// The next try, if the call has one left.
-fn next(router: &Router, job: &Job, call: &mut Repeat) -> Option<Try> {
+fn next(router: &Router, job: &Job, call: &mut Attempts) -> Option<Attempt> {
     let now = router.timer.now();
     router
         .budgets
@@ -89,7 +89,7 @@
 }
 
 /// Makes one try.
-async fn attempt(router: &Router, job: &Job, next: &Try) -> Result<Reply, Missed> {
+async fn attempt(router: &Router, job: &Job, next: &Attempt) -> Result<Reply, Missed> {
     let mut placed =
         place(router, &job.want(&next.avoid)).map_err(|_: NoBackend| Missed::Unsent(None))?;
     let answered = attempt_at(router, job, next, &placed.backend.seen).await;
@@ -105,20 +105,20 @@
 async fn attempt_at(
     router: &Router,
     job: &Job,
-    next: &Try,
+    next: &Attempt,
     seen: &BackendView,
 ) -> Result<Reply, Missed> {
     let backend = || seen.backend.clone();
-    let left = || next.until.since(router.timer.now()).duration();
+    let left = || next.deadline.since(router.timer.now()).duration();
     // Each try has a connection of its own, so a silent one is never used again.
     let connection = Connection::open(seen.addr, left())
         .await
         .map_err(|_| Missed::Unsent(Some(backend())))?;
     match connection.call(job.call.clone(), left()).await {
-        Ok(reply) if is_refusal(&reply) => Err(Missed::Sent(backend(), Failure::Broke)),
+        Ok(reply) if is_refusal(&reply) => Err(Missed::Sent(backend(), Failure::Error)),
         Ok(reply) => Ok(reply),
-        Err(CallError::Timeout { .. }) => Err(Missed::Sent(backend(), Failure::Silent)),
-        Err(_) => Err(Missed::Sent(backend(), Failure::Broke)),
+        Err(CallError::Timeout { .. }) => Err(Missed::Sent(backend(), Failure::Timeout)),
+        Err(_) => Err(Missed::Sent(backend(), Failure::Error)),
     }
 }
 
--- a/crates/gooseberry-router/tests/clear_rows.rs
+++ b/crates/gooseberry-router/tests/clear_rows.rs
@@ -5,7 +5,7 @@
 
 use std::sync::Arc;
 
-use calls::record::PARTS;
+use calls::record::PARTITIONS;
 use gooseberry_router::claims::platform;
 use gooseberry_router::context::Router;
 use gooseberry_router::services::clear::clear_part;
@@ -54,7 +54,7 @@
 }
 
 async fn clear(router: &Arc<Router>) {
-    for part in 0..PARTS {
+    for part in 0..PARTITIONS {
         clear_part(router, part).await;
     }
 }
