--- a/crates/admission/src/budget.rs
+++ b/crates/admission/src/budget.rs
@@ -1,12 +1,12 @@
-//! A bound on retries as a part of the first tries.
+//! Limit on retries as a percentage of first attempts.
 
-/// The retries allowed at once, besides those earned.
+/// Most retries that a budget holds, also when it is new.
 const MAX_SAVED: u64 = 10;
 
-/// The price of one retry, in the unit in which first tries earn.
+/// Tokens that one retry costs; a first attempt adds its percentage in tokens.
 const RETRY_TOKENS: u64 = 100;
 
-/// Retries earned by first tries.
+/// Token bucket that first attempts fill and retries drain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryBudget {
     tokens: u64,
@@ -21,12 +21,12 @@
 }
 
 impl RetryBudget {
-    /// A first try earns `percent` of a retry.
+    /// Adds the tokens for a first attempt, which earns `percent` hundredths of a retry.
     pub fn earn(&mut self, percent: u32) {
         self.tokens = (self.tokens + u64::from(percent)).min(MAX_SAVED * RETRY_TOKENS);
     }
 
-    /// Takes one retry, if there is one.
+    /// Takes the tokens of one retry; returns `false` if there are too few.
     pub fn spend(&mut self) -> bool {
         match self.tokens.checked_sub(RETRY_TOKENS) {
             Some(rest) => {
--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -1,4 +1,7 @@
-//! Which requests start, wait or are refused at one router.
+//! Admission controller of one router: starts, queues or refuses requests.
+//!
+//! Waiting requests of a profile start in the order of start-time fair queueing, with one flow per
+//! workspace. A request is refused once it cannot start early enough to meet its deadline.
 
 use base::prelude::*;
 use base::sorted::Sorted;
@@ -7,82 +10,82 @@
 
 use crate::flow::{Flow, ProfileState, Waiting, WorkspaceState};
 
-/// The least time after which a refused caller is told to come back.
+/// Shortest time after which a refused caller is asked to retry.
 const MIN_RETRY_AFTER: Millis = Millis(1_000);
 
-/// What one router may do under one profile.
+/// Limits of one router for one profile.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct ProfileBounds {
-    /// The most requests that run at once.
+    /// Maximum number of running requests.
     pub capacity: u64,
-    /// The most requests that wait.
+    /// Maximum number of waiting requests.
     #[serde(rename = "queued")]
     pub queue_limit: u64,
-    /// Higher goes first where a place may go to several profiles.
+    /// Profiles with a higher value start their waiting requests first.
     pub priority: u32,
-    /// The time from the start of a request to its first output.
+    /// Time expected from the start of a request to its first output.
     #[serde(rename = "first")]
     pub first_output: Millis,
 }
 
-/// What one router may do for one workspace.
+/// Limits of one router for one workspace.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct WorkspaceBounds {
-    /// The weight when work has to wait.
+    /// Weight in fair queueing; 0 counts as 1.
     pub share: u32,
-    /// The most requests that run at once; 0 for no limit.
+    /// Maximum number of running requests; 0 for no limit.
     pub limit: u64,
 }
 
-/// A request that has arrived.
+/// Request that asks for admission.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
-    /// The number by which actions name it.
+    /// Number that identifies it in actions.
     pub ticket: u64,
-    /// The profile.
+    /// Profile under which it runs.
     pub profile: &'a ProfileName,
-    /// The workspace.
+    /// Workspace to which it belongs.
     pub workspace: &'a WorkspaceName,
-    /// The work that it asks for, as the most tokens of its output.
+    /// Cost in fair queueing: the maximum number of its output tokens.
     pub cost: u64,
-    /// When its first output must be there.
+    /// Time by which its first output is due.
     pub deadline: Millis,
-    /// Whether it goes on with work that was admitted before and must not wait.
+    /// Whether it continues work admitted earlier; it then starts at once, whatever the limits.
     pub is_admitted: bool,
 }
 
-/// What is to be done.
+/// Decision on a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Run the request.
+    /// Run the request with this ticket.
     Start(u64),
-    /// Answer that it was not run and never will be.
+    /// Answer that the request was not run and never will be.
     Refuse {
-        /// The request.
+        /// Ticket of the request.
         ticket: u64,
-        /// Why.
+        /// Cause of the refusal.
         reason: Reason,
-        /// After which time it is likely to be taken.
+        /// Time after which a retry is likely to be admitted.
         after: Millis,
     },
 }
 
-/// Why a request is refused.
+/// Cause of a refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum Reason {
-    /// Too many requests wait.
+    /// The queue of its profile is full.
     QueueFull,
-    /// Its turn would not come before its deadline.
+    /// On arrival, the expected wait was too long to meet its deadline.
     TooLate,
-    /// Its turn did not come before its deadline.
+    /// While it waited, the time left became too short to meet its deadline.
     Expired,
 }
 
-/// The key of a flow.
+/// Profile and workspace of a flow.
 type FlowKey = (ProfileName, WorkspaceName);
 
-/// All requests that run or wait at one router.
+/// Counts of running requests and queues of waiting ones at one router.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Controller {
     #[serde(rename = "classes")]
@@ -94,13 +97,13 @@
 }
 
 impl Controller {
-    /// Puts the bounds of a profile into force.
+    /// Sets the limits of a profile.
     pub fn set_profile(&mut self, profile: &ProfileName, bounds: ProfileBounds) {
         let state = self.profiles.entry(profile.clone(), ProfileState::default);
         state.bounds = bounds;
     }
 
-    /// Puts the bounds of a workspace into force.
+    /// Sets the limits of a workspace.
     pub fn set_workspace(&mut self, workspace: &WorkspaceName, bounds: WorkspaceBounds) {
         let state = self
             .workspaces
@@ -108,7 +111,7 @@
         state.bounds = bounds;
     }
 
-    /// Takes in a request: starts it, lets it wait or refuses it.
+    /// Handles the arrival of a request: starts, queues or refuses it.
     pub fn arrive(&mut self, now: Millis, request: &Request<'_>, out: &mut Vec<Action>) {
         let key = (request.profile.clone(), request.workspace.clone());
         self.flows.entry(key.clone(), Flow::default);
@@ -138,7 +141,7 @@
         }
     }
 
-    /// Frees the place of a request that was started `hold_time` ago.
+    /// Handles the end of a request that ran for `hold_time`, and fills the free slots.
     pub fn release(
         &mut self,
         now: Millis,
@@ -156,12 +159,12 @@
         self.tick(now, out);
     }
 
-    /// Forgets a waiting request whose caller went away.
+    /// Removes a waiting request whose caller has disconnected.
     pub fn cancel(&mut self, ticket: u64) {
         self.remove_waiting(|w| w.ticket == ticket);
     }
 
-    /// Refuses what can no longer start in time and starts what may.
+    /// Refuses waiting requests that can no longer meet their deadline, and fills free slots.
     pub fn tick(&mut self, now: Millis, out: &mut Vec<Action>) {
         let first_outputs: Vec<(ProfileName, Millis)> = self
             .profiles
@@ -177,29 +180,29 @@
                 after,
             }));
         }
-        self.start_waiting(out);
+        self.fill_slots(out);
     }
 
-    /// Whether any request waits.
+    /// Whether any request is queued; if none is, [`Controller::tick`] has nothing to do.
     pub fn has_waiting(&self) -> bool {
         self.profiles.iter().any(|(_, s)| s.waiting > 0)
     }
 
-    /// What runs and waits under each profile, for a state dump.
+    /// State of each profile, for a state dump.
     pub fn profiles(&self) -> &impl Serialize {
         &self.profiles
     }
 
-    /// Whether a request may start ahead of all that wait.
+    /// Whether a new request may start ahead of all that wait under its profile.
     fn can_start_now(&self, key: &FlowKey) -> bool {
         let Some(state) = self.profiles.get(&key.0) else {
             return false;
         };
-        let is_alone = state.waiting == 0 || self.none_startable(key);
-        state.running < state.bounds.capacity && is_alone && self.is_below_limit(&key.1)
+        let is_first = state.waiting == 0 || self.none_startable(key);
+        state.running < state.bounds.capacity && is_first && self.is_below_limit(&key.1)
     }
 
-    /// Whether nothing that waits under the profile could start now.
+    /// Whether the workspaces of all requests that wait under the profile are at their limit.
     fn none_startable(&self, key: &FlowKey) -> bool {
         self.next_flow(&key.0).is_none()
     }
@@ -210,13 +213,13 @@
             .is_none_or(WorkspaceState::is_below_limit)
     }
 
-    /// Why a request that has to wait is refused at once, if it is.
+    /// Cause for refusing a request on arrival, and when to retry; `None` if it may wait.
     fn refusal(&self, now: Millis, key: &FlowKey, deadline: Millis) -> Option<(Reason, Millis)> {
         let state = self.profiles.get(&key.0)?;
         if state.waiting >= state.bounds.queue_limit {
             return Some((Reason::QueueFull, self.retry_after(&key.0)));
         }
-        let wait = state.wait_time(self.starts_before(key)) + state.bounds.first_output;
+        let wait = state.wait_time(self.queue_position(key)) + state.bounds.first_output;
         let left = deadline.since(now);
         if wait > left {
             return Some((Reason::TooLate, (wait - left).max(MIN_RETRY_AFTER)));
@@ -224,8 +227,8 @@
         None
     }
 
-    /// How many requests are likely to start before a new one of this flow, itself included.
-    fn starts_before(&self, key: &FlowKey) -> u64 {
+    /// Likely position of a new request of this flow in the order of starts, counted from 1.
+    fn queue_position(&self, key: &FlowKey) -> u64 {
         let own = self.flows.get(key).map_or(0, |f| f.queue.len() as u64) + 1;
         let share = self.weight(&key.1);
         let others = self.flows.iter().filter(|(k, _)| k.0 == key.0 && *k != key);
@@ -241,7 +244,7 @@
         u64::from(share.max(1))
     }
 
-    /// When a refused caller is likely to find room.
+    /// Time after which a refused caller is likely to find a free slot.
     fn retry_after(&self, profile: &ProfileName) -> Millis {
         let wait = self.profiles.get(profile).map(|s| s.wait_time(s.waiting));
         wait.unwrap_or_default().max(MIN_RETRY_AFTER)
@@ -262,8 +265,8 @@
         out.push(Action::Start(waiting.ticket));
     }
 
-    /// Fills the free places, profiles of higher priority first.
-    fn start_waiting(&mut self, out: &mut Vec<Action>) {
+    /// Fills the free slots, profiles of higher priority first.
+    fn fill_slots(&mut self, out: &mut Vec<Action>) {
         let mut order: Vec<(u32, ProfileName)> = self
             .profiles
             .iter()
@@ -276,7 +279,7 @@
         }
     }
 
-    /// Starts the next request of a profile, if there is a place for it.
+    /// Starts the next request of a profile; returns `false` if none can start.
     fn start_one(&mut self, profile: &ProfileName, out: &mut Vec<Action>) -> bool {
         let is_full = |s: &ProfileState| s.running >= s.bounds.capacity;
         if self.profiles.get(profile).is_none_or(is_full) {
@@ -296,7 +299,7 @@
         true
     }
 
-    /// The flow whose turn it is, among those whose workspace has room.
+    /// Flow with the lowest start tag among those whose workspace is below its limit.
     fn next_flow(&self, profile: &ProfileName) -> Option<FlowKey> {
         self.flows
             .iter()
@@ -307,7 +310,7 @@
             .map(|(k, _)| k.clone())
     }
 
-    /// Takes out what must have started before `limit`, and returns the tickets.
+    /// Removes waiting requests with a deadline up to `limit`, and returns their tickets.
     fn remove_expired(&mut self, profile: &ProfileName, limit: Millis) -> Vec<u64> {
         let mut removed = Vec::new();
         for (key, flow) in self.flows.iter_mut() {
--- a/crates/admission/src/flow.rs
+++ b/crates/admission/src/flow.rs
@@ -1,4 +1,4 @@
-//! The requests of one workspace under one profile, and what a router keeps of each of the two.
+//! State of a router for each flow (a workspace under a profile), profile and workspace.
 
 use std::collections::VecDeque;
 
@@ -7,13 +7,13 @@
 
 use crate::controller::{ProfileBounds, WorkspaceBounds};
 
-/// The unit of the virtual time, so that a share divides it without loss.
+/// Virtual time per unit of cost; keeps precision when it is divided by a share.
 const COST_SCALE: u64 = 1_000;
 
-/// The weight of the newest holding time, as a divisor.
+/// Divisor of the moving average: the newest hold time has a weight of 1/8.
 const SMOOTHING: u64 = 8;
 
-/// A request that waits.
+/// Waiting request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub(crate) struct Waiting {
     pub(crate) ticket: u64,
@@ -21,17 +21,17 @@
     pub(crate) deadline: Millis,
 }
 
-/// The requests of one workspace under one profile.
+/// Waiting requests of one workspace under one profile.
 #[derive(Clone, Debug, Default, Serialize)]
 pub(crate) struct Flow {
-    /// The virtual time at which its next request is due.
+    /// Start tag: the earliest virtual time at which its next request starts.
     #[serde(rename = "due")]
     pub(crate) next_start: u64,
     pub(crate) queue: VecDeque<Waiting>,
 }
 
 impl Flow {
-    /// Moves the lane on by one request and returns the virtual time at which it started.
+    /// Advances the start tag by the cost of one request, and returns its virtual start time.
     pub(crate) fn charge(&mut self, virtual_time: u64, cost: u64, share: u32) -> u64 {
         let start = self.next_start.max(virtual_time);
         self.next_start = start + cost.max(1) * COST_SCALE / u64::from(share.max(1));
@@ -39,22 +39,22 @@
     }
 }
 
-/// All that runs or waits under one profile.
+/// Counts of running and waiting requests of one profile.
 #[derive(Clone, Debug, Default, Serialize)]
 pub(crate) struct ProfileState {
     pub(crate) bounds: ProfileBounds,
     pub(crate) running: u64,
     pub(crate) waiting: u64,
-    /// The virtual time.
+    /// Virtual time: the highest start tag among the started requests.
     #[serde(rename = "time")]
     pub(crate) virtual_time: u64,
-    /// How long a request holds its place, smoothed; 0 if none has ended.
+    /// Moving average of the time for which a request occupies a slot; 0 until one has ended.
     #[serde(rename = "hold")]
     pub(crate) hold_time: Millis,
 }
 
 impl ProfileState {
-    /// A request has ended after holding its place so long.
+    /// Records the end of a request that occupied a slot for `hold_time`.
     pub(crate) fn record_end(&mut self, hold_time: Millis) {
         self.running = self.running.saturating_sub(1);
         self.hold_time = match self.hold_time {
@@ -63,13 +63,13 @@
         };
     }
 
-    /// The time until `ahead` more places have been freed.
+    /// Expected time until `ahead` more slots are freed.
     pub(crate) fn wait_time(&self, ahead: u64) -> Millis {
         Millis(self.hold_time.0 * ahead / self.bounds.capacity.max(1))
     }
 }
 
-/// All that runs in one workspace.
+/// Count of running requests of one workspace, under all profiles.
 #[derive(Clone, Debug, Default, Serialize)]
 pub(crate) struct WorkspaceState {
     pub(crate) bounds: WorkspaceBounds,
@@ -77,7 +77,7 @@
 }
 
 impl WorkspaceState {
-    /// Whether it may run one more.
+    /// Whether one more request may run.
     pub(crate) fn is_below_limit(&self) -> bool {
         self.bounds.limit == 0 || self.running < self.bounds.limit
     }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,7 +1,7 @@
-//! Limits, the fair queue by workspace and the retry budget.
+//! Admission control of a router: limits, fair queueing by workspace, and retry budgets.
 //!
-//! Pure: requests, ends and the time come in, starts and refusals go out. The crate knows nothing
-//! of HTTP or of how the bounds of one router are worked out from what others do.
+//! The crate does no I/O: requests, their ends and the time are passed in, starts and refusals are
+//! returned. The router handles HTTP and derives its bounds from the state of the other routers.
 
 pub mod budget;
 pub mod controller;
--- a/crates/admission/tests/fair_queue.rs
+++ b/crates/admission/tests/fair_queue.rs
@@ -1,4 +1,4 @@
-//! Scripted arrivals and ends at one router, see `scenarios/queue.txt`, and properties of limits.
+//! Scripted arrivals and ends at one router, see `scenarios/queue.txt`, and property tests.
 
 use admission::{
     Action, Controller, ProfileBounds, Request, RetryBudget, WorkspaceBounds, limit_share,
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
-/// A request that runs.
+/// Running request.
 struct Running {
     ticket: u64,
     profile: ProfileName,
@@ -19,22 +19,22 @@
 struct World {
     controller: Controller,
     now: Millis,
-    asked: Vec<(u64, ProfileName, WorkspaceName)>,
+    requests: Vec<(u64, ProfileName, WorkspaceName)>,
     running: Vec<Running>,
     budget: RetryBudget,
 }
 
 impl World {
-    fn carry_out(&mut self, actions: Vec<Action>) -> String {
+    fn apply(&mut self, actions: Vec<Action>) -> String {
         let mut text = String::new();
         for action in actions {
             match action {
                 Action::Start(ticket) => {
                     let (_, profile, workspace) = self
-                        .asked
+                        .requests
                         .iter()
-                        .find(|a| a.0 == ticket)
-                        .expect("asked")
+                        .find(|r| r.0 == ticket)
+                        .expect("an earlier request")
                         .clone();
                     text += &format!("{ticket} {workspace} starts\n");
                     self.running.push(Running {
@@ -57,10 +57,10 @@
     fn end(&mut self, i: usize) -> String {
         let one = self.running.remove(i);
         let mut out = Vec::new();
-        let held = self.now.since(one.started);
+        let hold_time = self.now.since(one.started);
         self.controller
-            .release(self.now, &one.profile, &one.workspace, held, &mut out);
-        format!("{} ends\n{}", one.ticket, self.carry_out(out))
+            .release(self.now, &one.profile, &one.workspace, hold_time, &mut out);
+        format!("{} ends\n{}", one.ticket, self.apply(out))
     }
 }
 
@@ -104,7 +104,7 @@
                 "ask" => {
                     let mut shown = String::new();
                     for _ in 0..number("count", 1) {
-                        let ticket = world.asked.len() as u64 + 1;
+                        let ticket = world.requests.len() as u64 + 1;
                         let profile = ProfileName(text("profile", "p"));
                         let workspace = WorkspaceName(text("name", "w"));
                         let request = Request {
@@ -118,9 +118,9 @@
                         let mut out = Vec::new();
                         world.controller.arrive(world.now, &request, &mut out);
                         world
-                            .asked
+                            .requests
                             .push((ticket, profile.clone(), workspace.clone()));
-                        shown += &world.carry_out(out);
+                        shown += &world.apply(out);
                     }
                     shown
                 }
@@ -133,7 +133,7 @@
                     world.now = world.now + Millis(number("ms", 0));
                     let mut out = Vec::new();
                     world.controller.tick(world.now, &mut out);
-                    world.carry_out(out)
+                    world.apply(out)
                 }
                 "retries" => {
                     let percent = number("percent", 10) as u32;
@@ -148,7 +148,7 @@
     });
 }
 
-/// One step of a random run: what happens, to which workspace, and after how long.
+/// Step of a random run: kind of event, index of a workspace or running request, delay in ms.
 type Step = (u8, u8, u64);
 
 proptest! {
@@ -159,8 +159,8 @@
         ..Config::default()
     })]
 
-    /// The parts of a limit add up to it, and a split in groups lets through no more than the limit
-    /// for each group.
+    /// The parts of a limit add up to it, and routers partitioned into groups admit at most the
+    /// limit per group.
     #[test]
     fn limit_parts(limit in 1_u64..5_000, groups in proptest::collection::vec(1_u64..40, 1..4)) {
         let part = |live: u64| (0..live).map(|rank| limit_share(limit, rank, live)).sum::<u64>();
@@ -172,21 +172,26 @@
         prop_assert!(split <= groups.len() as u64 * limit.max(routers));
     }
 
-    /// Whatever happens: limits hold, each request gets one answer, and none starts once refused.
+    /// Limits hold, each request gets exactly one decision, and none starts too late.
     #[test]
     fn one_answer(steps in proptest::collection::vec((0_u8..4, 0_u8..4, 0_u64..400), 1..120)) {
         let (capacity, limit) = (3, 2);
         let profile = ProfileName::from("p");
         let mut controller = Controller::default();
-        let bounds = ProfileBounds { capacity, queue_limit: 6, priority: 0, first_output: Millis(50) };
+        let bounds = ProfileBounds {
+            capacity,
+            queue_limit: 6,
+            priority: 0,
+            first_output: Millis(50),
+        };
         controller.set_profile(&profile, bounds);
         let names: Vec<WorkspaceName> = (0..4).map(|i| WorkspaceName(format!("w{i}"))).collect();
         for (i, name) in names.iter().enumerate() {
             controller.set_workspace(name, WorkspaceBounds { share: i as u32 + 1, limit });
         }
         let mut now = Millis(0);
-        let mut asks: Vec<(Millis, usize)> = Vec::new();
-        let mut answered: Vec<u64> = Vec::new();
+        let mut requests: Vec<(Millis, usize)> = Vec::new();
+        let mut decided: Vec<u64> = Vec::new();
         let mut running: Vec<(u64, Millis)> = Vec::new();
         let end: Vec<Step> = vec![(3, 0, 10_000)];
         for (what, which, ms) in steps.into_iter().chain(end) {
@@ -194,8 +199,8 @@
             let mut out = Vec::new();
             match what {
                 0 | 1 => {
-                    let ticket = asks.len() as u64;
-                    asks.push((now + Millis(500), usize::from(which)));
+                    let ticket = requests.len() as u64;
+                    requests.push((now + Millis(500), usize::from(which)));
                     let request = Request {
                         ticket,
                         profile: &profile,
@@ -208,7 +213,7 @@
                 }
                 2 if !running.is_empty() => {
                     let (ticket, at) = running.remove(usize::from(which) % running.len());
-                    let name = &names[asks[ticket as usize].1];
+                    let name = &names[requests[ticket as usize].1];
                     controller.release(now, &profile, name, now.since(at), &mut out);
                 }
                 _ => controller.tick(now, &mut out),
@@ -216,7 +221,10 @@
             for action in out {
                 let ticket = match action {
                     Action::Start(ticket) => {
-                        prop_assert!(asks[ticket as usize].0 > now + Millis(50), "started late");
+                        prop_assert!(
+                            requests[ticket as usize].0 > now + Millis(50),
+                            "started too late"
+                        );
                         running.push((ticket, now));
                         ticket
                     }
@@ -225,16 +233,19 @@
                         ticket
                     }
                 };
-                prop_assert!(!answered.contains(&ticket), "two answers");
-                answered.push(ticket);
+                prop_assert!(!decided.contains(&ticket), "two decisions on one request");
+                decided.push(ticket);
             }
             prop_assert!(running.len() as u64 <= capacity);
-            for space in 0..names.len() {
-                let count = running.iter().filter(|(t, _)| asks[*t as usize].1 == space).count();
+            for workspace in 0..names.len() {
+                let count = running
+                    .iter()
+                    .filter(|(t, _)| requests[*t as usize].1 == workspace)
+                    .count();
                 prop_assert!(count as u64 <= limit);
             }
         }
-        prop_assert_eq!(answered.len(), asks.len());
+        prop_assert_eq!(decided.len(), requests.len());
         prop_assert!(!controller.has_waiting());
     }
 }
--- a/crates/calls/src/batch.rs
+++ b/crates/calls/src/batch.rs
@@ -1,8 +1,8 @@
-//! Writes of many calls in one transaction.
+//! Batches of conditional row writes, one table transaction each.
 //!
-//! A transaction takes effect whole or not at all, so a row whose condition does not hold is
-//! answered from the conflict and the rest goes again without it. A row stands at most once in a
-//! transaction: two claims of one key in one transaction would both see it absent.
+//! A transaction is atomic: if the conditions of some writes do not hold, these are answered from
+//! the reported conflict, and the others are queued again. A row has at most one write in
+//! flight: two claims of one key in one transaction would both find the row absent.
 
 use base::prelude::*;
 use serde::{Deserialize, Serialize};
@@ -10,15 +10,15 @@
 use crate::record::{Record, VersionedRecord};
 use crate::submission::Expected;
 
-/// When a transaction is sent.
+/// Limits on the delay, size and number of transactions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Policy {
-    /// How long the first write waits for others, in milliseconds.
+    /// Time that the first write of a batch waits for others, in milliseconds.
     pub delay_ms: u64,
-    /// The most writes in one transaction.
+    /// Maximum number of writes in one transaction.
     pub size: usize,
-    /// The most transactions under way.
+    /// Maximum number of transactions in flight.
     pub inflight: usize,
 }
 
@@ -32,42 +32,42 @@
     }
 }
 
-/// One write.
+/// Conditional write of one row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Write {
-    /// Whose write it is.
+    /// Number under which [`Batcher::reply`] reports the verdict.
     pub ticket: u64,
-    /// The row.
+    /// Row key.
     pub key: String,
-    /// What the row must be.
+    /// Condition on the current row.
     pub expected: Expected,
-    /// The new value; none takes the row away.
+    /// New value; `None` deletes the row.
     pub record: Option<Record>,
 }
 
-/// What became of a write.
+/// Result of a write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It took effect and made this version.
+    /// It took effect; carries the new row version.
     Committed(u64),
-    /// It had no effect; the row is as given.
+    /// Its condition did not hold; carries the current row, if any.
     Found(Option<VersionedRecord>),
-    /// It may have taken effect, or may yet.
+    /// It may have taken effect, or may still do so.
     Unconfirmed,
 }
 
-/// The answer to a transaction.
+/// Result of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// It took effect; the versions in order of the writes.
+    /// It took effect; carries the new row versions in the order of the writes.
     Committed(Vec<u64>),
-    /// It had no effect; the writes whose condition did not hold, by index, and their rows.
+    /// It had no effect; carries the index and current row of each write that conflicts.
     Conflict(Vec<(usize, Option<VersionedRecord>)>),
-    /// There is no certain answer.
+    /// It may have taken effect, or may still do so.
     Unconfirmed,
 }
 
-/// Writes that wait and transactions under way.
+/// Queued writes and transactions in flight.
 #[derive(Clone, Debug)]
 pub struct Batcher {
     policy: Policy,
@@ -77,7 +77,7 @@
 }
 
 impl Batcher {
-    /// An empty batcher.
+    /// A batcher with an empty queue.
     pub fn new(policy: Policy) -> Self {
         Self {
             policy,
@@ -87,17 +87,17 @@
         }
     }
 
-    /// Adds a write.
+    /// Queues a write, which is due after [`Policy::delay_ms`].
     pub fn push(&mut self, now: Millis, write: Write) {
         self.queue.push((now + Millis(self.policy.delay_ms), write));
     }
 
-    /// Withdraws writes that are not under way yet and that nobody wants, by ticket.
+    /// Removes the queued writes for whose ticket `is_wanted` is false; those in flight stay.
     pub fn withdraw(&mut self, mut is_wanted: impl FnMut(u64) -> bool) {
         self.queue.retain(|(_, write)| is_wanted(write.ticket));
     }
 
-    /// When the next transaction is due, as far as is known now.
+    /// Time at which to call [`Batcher::next`]; `Millis::MAX` until a push or reply.
     pub fn due(&self) -> Millis {
         if self.in_flight.len() >= self.policy.inflight.max(1) {
             return Millis::MAX;
@@ -113,7 +113,7 @@
         ready().map(|(at, _)| *at).min().unwrap_or(Millis::MAX)
     }
 
-    /// The transaction to send now, with its number.
+    /// Number and writes of the transaction to send now, if one is due.
     pub fn next(&mut self, now: Millis) -> Option<(u64, Vec<Write>)> {
         if self.due() > now {
             return None;
@@ -137,9 +137,9 @@
         Some((self.last_number, writes))
     }
 
-    /// Takes in the answer to a transaction; returns what became of writes, by ticket.
+    /// Handles the result of a transaction; returns verdicts by ticket.
     ///
-    /// Writes that failed only for the sake of others go again at once.
+    /// Writes that had no effect only because others conflicted are queued again, due at once.
     pub fn reply(&mut self, now: Millis, number: u64, reply: Reply) -> Vec<(u64, Verdict)> {
         let Some(i) = self.in_flight.iter().position(|(n, _)| *n == number) else {
             return Vec::new();
@@ -161,13 +161,13 @@
         }
     }
 
-    /// How many writes wait or are under way.
+    /// Number of writes that are queued or in flight.
     pub fn len(&self) -> usize {
         let in_flight: usize = self.in_flight.iter().map(|(_, w)| w.len()).sum();
         self.queue.len() + in_flight
     }
 
-    /// Whether there are none.
+    /// Whether no write is queued or in flight.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/calls/src/lib.rs
+++ b/crates/calls/src/lib.rs
@@ -1,7 +1,7 @@
-//! Claims of calls that may not repeat, retries of those that may, and batches of claims.
+//! Claims for non-idempotent calls, retries of idempotent ones, and batches of claim writes.
 //!
-//! Pure: events and the time come in, actions go out. The crate knows nothing of the table that
-//! keeps the claims or of the connections over which calls are sent.
+//! The crate does no I/O: events and the time are passed in, actions are returned. The
+//! router accesses the table that holds the claims and sends the calls to backend servers.
 
 pub mod batch;
 pub mod record;
--- a/crates/calls/src/retry.rs
+++ b/crates/calls/src/retry.rs
@@ -1,14 +1,14 @@
-//! Retries of a call that may repeat.
+//! Attempts of an idempotent call and the retry budget of its service.
 
 use base::prelude::*;
 
-/// The tokens that one retry takes from a [`RetryBudget`]; a call gives as many as its percentage.
+/// Tokens that one retry takes from a [`RetryBudget`]; a call adds its percentage in tokens.
 const RETRY_TOKENS: u32 = 100;
 
-/// The most retries that a budget saves up.
+/// Most retries that a budget holds, also when it is new.
 const MAX_SAVED: u32 = 10;
 
-/// What all calls of a service share: retries in proportion to calls.
+/// Token bucket shared by all calls of a service; limits retries to a percentage of the calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryBudget {
     tokens: u32,
@@ -23,12 +23,12 @@
 }
 
 impl RetryBudget {
-    /// Counts a call, which earns this percentage of a retry.
+    /// Adds the tokens for a call, which earns this percentage of a retry.
     pub fn earn(&mut self, percent: u32) {
         self.tokens = (self.tokens + percent).min(MAX_SAVED * RETRY_TOKENS);
     }
 
-    /// Takes a retry, if there is one.
+    /// Takes the tokens of one retry; returns `false` if there are too few.
     pub fn spend(&mut self) -> bool {
         let is_allowed = self.tokens >= RETRY_TOKENS;
         if is_allowed {
@@ -38,7 +38,7 @@
     }
 }
 
-/// The attempts of one call.
+/// State of the attempts of one call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Attempts {
     count: u32,
@@ -49,28 +49,28 @@
     has_timeout: bool,
 }
 
-/// How a try is to be made.
+/// Parameters of one attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Attempt {
-    /// When it is given up.
+    /// Time at which it times out.
     pub deadline: Millis,
-    /// The servers that failed, taken only if there is no other.
+    /// Backend servers whose attempts failed; selected only if there is no other.
     pub avoid: Vec<BackendId>,
-    /// Whether no connection that was open before may be used.
+    /// Whether it must not reuse an open connection, because an earlier attempt timed out.
     pub new_connection: bool,
 }
 
-/// How a try failed.
+/// Cause of a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// The server refused, or the connection broke.
+    /// The server refused the call, no server was available, or the connection failed.
     Error,
-    /// Nothing came in time.
+    /// No answer arrived before the deadline of the attempt.
     Timeout,
 }
 
 impl Attempts {
-    /// A call with at most this many attempts of at most this length.
+    /// A call with at most `limit` attempts (at least one), each of at most `time_limit`.
     pub fn new(limit: u32, time_limit: Millis, deadline: Millis) -> Self {
         Self {
             count: 0,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// The next try, if there is time and budget for one.
+    /// Next attempt; `None` if the attempts, the time or the retry budget is exhausted.
     pub fn next(&mut self, now: Millis, budget: &mut RetryBudget) -> Option<Attempt> {
         if self.left == 0 || now >= self.deadline {
             return None;
@@ -99,13 +99,13 @@
         })
     }
 
-    /// Notes how a try at `backend` failed.
+    /// Records that an attempt at `backend` failed.
     pub fn record_failure(&mut self, backend: BackendId, failure: Failure) {
         self.has_timeout |= failure == Failure::Timeout;
         self.avoid.push(backend);
     }
 
-    /// How many attempts were made.
+    /// Number of attempts made so far.
     pub fn count(&self) -> u32 {
         self.count
     }
--- a/crates/calls/tests/claim_batches.rs
+++ b/crates/calls/tests/claim_batches.rs
@@ -1,4 +1,4 @@
-//! Batches of claims: `tests/scenarios/batches` holds the scripts, and a property follows.
+//! Batches of claims: scripts in `tests/scenarios/batches`, and a property test.
 
 use base::prelude::*;
 use calls::batch::{Batcher, Policy, Reply, Verdict, Write};
@@ -40,7 +40,7 @@
                             out += &format!("ticket {ticket}: {}\n", show(&verdict));
                         }
                     }
-                    verb => panic!("{verb}: there is no such verb"),
+                    verb => panic!("unknown directive {verb}"),
                 }
                 while let Some((number, writes)) = batcher.next(now) {
                     let keys: Vec<&str> = writes.iter().map(|w| w.key.as_str()).collect();
@@ -52,7 +52,7 @@
     });
 }
 
-/// Reads `ok VERSION..`, `lost` or `conflict INDEX..`.
+/// Parses `ok VERSION..`, `lost` or `conflict INDEX..`.
 fn reply(words: &[&str]) -> Reply {
     match words[0] {
         "ok" => Reply::Committed(
@@ -62,7 +62,7 @@
                 .collect(),
         ),
         "conflict" => {
-            let one = |w: &&str| (w.parse().expect("an index"), Some(held(7, 99)));
+            let one = |w: &&str| (w.parse().expect("an index"), Some(row(7, 99)));
             Reply::Conflict(words[1..].iter().map(one).collect())
         }
         _ => Reply::Unconfirmed,
@@ -72,7 +72,7 @@
 fn show(verdict: &Verdict) -> String {
     match verdict {
         Verdict::Committed(version) => format!("committed {version}"),
-        Verdict::Found(held) => format!("found version {:?}", held.as_ref().map(|h| h.version)),
+        Verdict::Found(row) => format!("found version {:?}", row.as_ref().map(|r| r.version)),
         Verdict::Unconfirmed => "failed".to_owned(),
     }
 }
@@ -82,11 +82,11 @@
         ticket,
         key: key.to_owned(),
         expected: Expected::Absent,
-        record: Some(held(0, ticket).record),
+        record: Some(row(0, ticket).record),
     }
 }
 
-fn held(version: u64, number: u64) -> VersionedRecord {
+fn row(version: u64, number: u64) -> VersionedRecord {
     let owner = Owner {
         router: Incarnation(1),
         number,
@@ -108,7 +108,7 @@
         ..Config::default()
     })]
 
-    /// Each claim is answered once, and each key is claimed by one ticket at most.
+    /// Each write gets one verdict, and each key is claimed by at most one ticket.
     #[test]
     fn batch_claims(keys in prop::collection::vec(0u8..12, 1..60), lost in any::<u64>()) {
         let mut batcher = Batcher::new(Policy { delay_ms: 5, size: 8, inflight: 2 });
@@ -128,7 +128,7 @@
                 .iter()
                 .enumerate()
                 .filter(|(_, w)| rows.iter().any(|(key, _)| *key == w.key))
-                .map(|(i, _)| (i, Some(held(1, 1))))
+                .map(|(i, _)| (i, Some(row(1, 1))))
                 .collect();
             let is_lost = lost >> (round % 64) & 1 == 1;
             let reply = if !conflicts.is_empty() {
--- a/crates/calls/tests/claim_faults.rs
+++ b/crates/calls/tests/claim_faults.rs
@@ -1,58 +1,59 @@
-//! Claims under random faults, two and more at a time.
+//! Property test of claims: random interleavings of submissions and faults keep the invariants.
 
 mod world;
 
 use calls::submission::KeyOrigin;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed, TestCaseError};
-use world::{Fate, Serve, World};
+use world::{Access, Delivery, World};
 
-/// The routers; 0 and 1 stand in one data centre, 2 in another.
+/// Number of routers; 0 and 1 are in one data centre, 2 is in another and can be partitioned.
 const ROUTERS: usize = 3;
 
-/// The keys in use.
+/// Keys of the calls, shared by all routers.
 const KEYS: [&str; 2] = ["a", "b"];
 
-/// The time that each submission has, in milliseconds.
+/// Time from a submission to its deadline, in milliseconds.
 const SPAN: u64 = 400;
 
-/// One step of an interleaving; numbers are taken modulo what there is.
+/// One step of an interleaving; indices are taken modulo the number of elements.
 #[derive(Clone, Debug)]
 enum Step {
     Submit(usize, usize),
-    Settle(usize, Fate),
-    Pick(usize, bool),
-    Serve(usize, Serve),
-    Land(usize),
+    CompleteAccess(usize, Access),
+    CompleteSelection(usize, bool),
+    CompleteSend(usize, Delivery),
+    Deliver(usize),
     Advance(u64),
     Kill(usize),
     Pause(usize, bool),
-    Part(bool),
+    Partition(bool),
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let fate = prop_oneof![
-        4 => Just(Fate::Whole),
-        1 => Just(Fate::Lost),
-        1 => Just(Fate::Dropped),
-        1 => Just(Fate::Stray),
+    let access = prop_oneof![
+        4 => Just(Access::Applied),
+        1 => Just(Access::AnswerLost),
+        1 => Just(Access::Dropped),
+        1 => Just(Access::Delayed),
     ];
-    let serve = prop_oneof![
-        2 => Just(Serve::Answer),
-        1 => Just(Serve::Die),
-        1 => Just(Serve::Vanish),
-        1 => Just(Serve::Refuse),
+    let delivery = prop_oneof![
+        2 => Just(Delivery::Answer),
+        1 => Just(Delivery::Crash),
+        1 => Just(Delivery::Dropped),
+        1 => Just(Delivery::Refuse),
     ];
     prop_oneof![
         3 => (any::<usize>(), any::<usize>()).prop_map(|(r, k)| Step::Submit(r, k)),
-        8 => (any::<usize>(), fate).prop_map(|(i, f)| Step::Settle(i, f)),
-        5 => (any::<usize>(), prop::bool::weighted(0.8)).prop_map(|(i, b)| Step::Pick(i, b)),
-        4 => (any::<usize>(), serve).prop_map(|(i, s)| Step::Serve(i, s)),
-        2 => any::<usize>().prop_map(Step::Land),
+        8 => (any::<usize>(), access).prop_map(|(i, f)| Step::CompleteAccess(i, f)),
+        5 => (any::<usize>(), prop::bool::weighted(0.8))
+            .prop_map(|(i, b)| Step::CompleteSelection(i, b)),
+        4 => (any::<usize>(), delivery).prop_map(|(i, s)| Step::CompleteSend(i, s)),
+        2 => any::<usize>().prop_map(Step::Deliver),
         5 => (1u64..250).prop_map(Step::Advance),
         1 => any::<usize>().prop_map(Step::Kill),
         2 => (any::<usize>(), any::<bool>()).prop_map(|(r, b)| Step::Pause(r, b)),
-        1 => any::<bool>().prop_map(Step::Part),
+        1 => any::<bool>().prop_map(Step::Partition),
     ]
 }
 
@@ -69,19 +70,19 @@
                 SPAN,
             );
         }
-        Step::Settle(i, fate) if has => world.settle(i % calls, fate),
-        Step::Pick(i, found) if has => world.pick(i % calls, found),
-        Step::Serve(i, serve) if has => world.serve(i % calls, serve),
-        Step::Land(i) if !world.strays.is_empty() => world.land(i % world.strays.len()),
+        Step::CompleteAccess(i, access) if has => world.complete_access(i % calls, access),
+        Step::CompleteSelection(i, found) if has => world.complete_selection(i % calls, found),
+        Step::CompleteSend(i, delivery) if has => world.complete_send(i % calls, delivery),
+        Step::Deliver(i) if !world.delayed.is_empty() => world.deliver(i % world.delayed.len()),
         Step::Advance(span) => world.advance(span),
         Step::Kill(r) => world.kill(r % ROUTERS),
         Step::Pause(r, paused) => world.routers[r % ROUTERS].is_paused = paused,
-        Step::Part(parted) => world.routers[ROUTERS - 1].is_parted = parted,
+        Step::Partition(partitioned) => world.routers[ROUTERS - 1].is_partitioned = partitioned,
         _ => {}
     }
 }
 
-/// Ends all pauses and lets everything that is on its way arrive.
+/// Resumes paused routers, completes all actions and delivers the delayed ones.
 fn finish(world: &mut World) {
     for router in &mut world.routers {
         router.is_paused = false;
@@ -89,12 +90,12 @@
     for _ in 0..20 {
         world.advance(SPAN / 4);
         for i in 0..world.calls.len() {
-            world.settle(i, Fate::Whole);
-            world.pick(i, true);
-            world.serve(i, Serve::Answer);
+            world.complete_access(i, Access::Applied);
+            world.complete_selection(i, true);
+            world.complete_send(i, Delivery::Answer);
         }
-        while !world.strays.is_empty() {
-            world.land(0);
+        while !world.delayed.is_empty() {
+            world.deliver(0);
         }
     }
 }
@@ -116,6 +117,6 @@
         }
         finish(&mut world);
         world.check().map_err(TestCaseError::fail)?;
-        world.check_told().map_err(TestCaseError::fail)?;
+        world.check_answered().map_err(TestCaseError::fail)?;
     }
 }
--- a/crates/calls/tests/claim_scenarios.rs
+++ b/crates/calls/tests/claim_scenarios.rs
@@ -1,13 +1,13 @@
-//! Scripted claims: `tests/scenarios/claims` holds the scripts.
+//! Scripted claims, see `tests/scenarios/claims`.
 
 mod world;
 
 use base::prelude::*;
 use calls::submission::KeyOrigin;
 use datadriven::walk;
-use world::{Fate, Serve, World};
+use world::{Access, Delivery, World};
 
-/// The time that a submission has, unless the script says otherwise.
+/// Time from a submission to its deadline, in milliseconds.
 const SPAN: u64 = 2_000;
 
 #[test]
@@ -17,7 +17,7 @@
         file.run(|case| {
             for line in case.input.lines() {
                 step(&mut world, line);
-                if let Err(e) = world.check().and_then(|()| world.check_told()) {
+                if let Err(e) = world.check().and_then(|()| world.check_answered()) {
                     world.log.push(format!("VIOLATED {e}"));
                 }
             }
@@ -27,13 +27,13 @@
     });
 }
 
-/// Carries out one line: a verb, a submission or router, and what it needs.
+/// Carries out one line: a directive, a submission or router, and its arguments.
 fn step(world: &mut World, line: &str) {
     let words: Vec<&str> = line.split_whitespace().collect();
     let number = |at: usize| -> usize {
         let word = words
             .get(at)
-            .unwrap_or_else(|| panic!("{line}: a word is missing"));
+            .unwrap_or_else(|| panic!("{line}: an argument is missing"));
         let digits = word.trim_start_matches(['s', 'r']);
         digits.parse().unwrap_or_else(|e| panic!("{line}: {e}"))
     };
@@ -47,27 +47,27 @@
             let digest = u64::from(words.get(3) == Some(&"other-body"));
             world.submit(number(1), words[2], digest, origin, SPAN);
         }
-        "ok" => world.settle(number(1), Fate::Whole),
-        "lose" => world.settle(number(1), Fate::Lost),
-        "drop" => world.settle(number(1), Fate::Dropped),
-        "stray" => world.settle(number(1), Fate::Stray),
-        "land" => world.land(number(1)),
-        "pick" => world.pick(number(1), true),
-        "none" => world.pick(number(1), false),
-        "answer" => world.serve(number(1), Serve::Answer),
-        "die" => world.serve(number(1), Serve::Die),
-        "vanish" => world.serve(number(1), Serve::Vanish),
-        "refuse" => world.serve(number(1), Serve::Refuse),
+        "ok" => world.complete_access(number(1), Access::Applied),
+        "lose" => world.complete_access(number(1), Access::AnswerLost),
+        "drop" => world.complete_access(number(1), Access::Dropped),
+        "stray" => world.complete_access(number(1), Access::Delayed),
+        "land" => world.deliver(number(1)),
+        "pick" => world.complete_selection(number(1), true),
+        "none" => world.complete_selection(number(1), false),
+        "answer" => world.complete_send(number(1), Delivery::Answer),
+        "die" => world.complete_send(number(1), Delivery::Crash),
+        "vanish" => world.complete_send(number(1), Delivery::Dropped),
+        "refuse" => world.complete_send(number(1), Delivery::Refuse),
         "kill" => world.kill(number(1)),
         "pause" => world.routers[number(1)].is_paused = true,
         "thaw" => {
             world.routers[number(1)].is_paused = false;
             world.advance(0);
         }
-        "part" => world.routers[number(1)].is_parted = true,
-        "join" => world.routers[number(1)].is_parted = false,
+        "part" => world.routers[number(1)].is_partitioned = true,
+        "join" => world.routers[number(1)].is_partitioned = false,
         "wait" => world.advance(number(1) as u64),
         "now" => world.log.push(format!("{}", world.now + Millis(0))),
-        verb => panic!("{verb}: there is no such verb"),
+        verb => panic!("unknown directive {verb}"),
     }
 }
--- a/crates/calls/tests/retry_budget.rs
+++ b/crates/calls/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! Retries of calls that may repeat.
+//! Attempts and the retry budget of idempotent calls.
 
 use base::prelude::*;
 use calls::retry::{Attempt, Attempts, Failure, RetryBudget};
@@ -7,7 +7,7 @@
     Attempts::new(3, Millis(400), Millis(1_000))
 }
 
-/// A budget without savings.
+/// Budget without tokens.
 fn empty_budget() -> RetryBudget {
     let mut budget = RetryBudget::default();
     while budget.spend() {}
@@ -35,7 +35,7 @@
     call.next(Millis(0), &mut budget);
     call.record_failure(BackendId::from("one"), Failure::Timeout);
     let second = call.next(Millis(400), &mut budget);
-    assert!(second.is_some_and(|t| t.new_connection));
+    assert!(second.is_some_and(|a| a.new_connection));
 }
 
 #[test]
@@ -44,12 +44,12 @@
     let mut budget = RetryBudget::default();
     call.next(Millis(0), &mut budget);
     let late = call.next(Millis(900), &mut budget);
-    assert_eq!(late.map(|t| t.deadline), Some(Millis(1_000)));
+    assert_eq!(late.map(|a| a.deadline), Some(Millis(1_000)));
     assert_eq!(call.next(Millis(1_000), &mut budget), None);
 }
 
 #[test]
-fn limited_tries() {
+fn limited_attempts() {
     let mut call = attempts();
     let mut budget = RetryBudget::default();
     let made = (0..10).filter(|_| call.next(Millis(0), &mut budget).is_some());
@@ -57,12 +57,12 @@
 }
 
 #[test]
-fn spent_budget() {
+fn exhausted_budget() {
     let mut budget = empty_budget();
     let mut call = attempts();
     assert!(call.next(Millis(0), &mut budget).is_some());
     assert_eq!(call.next(Millis(0), &mut budget), None);
-    // Ten calls at ten in a hundred earn one retry.
+    // Ten calls at ten percent earn one retry.
     for _ in 0..10 {
         budget.earn(10);
     }
--- a/crates/calls/tests/world/mod.rs
+++ b/crates/calls/tests/world/mod.rs
@@ -1,62 +1,62 @@
-//! Several routers before a fake table and a fake backend server.
+//! Simulation of several routers with a fake table and a fake backend server.
 
 use base::prelude::*;
 use calls::record::{Body, Outcome, Owner, Record, State, VersionedRecord};
 use calls::submission::{Action, Answer, Event, Expected, KeyOrigin, Phase, Submission, Times};
 
-/// What happens to a write or read.
+/// Course of a table access.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Fate {
+pub(crate) enum Access {
     /// It takes effect and is answered.
-    Whole,
+    Applied,
     /// It takes effect and its answer is lost.
-    Lost,
+    AnswerLost,
     /// It has no effect and no answer.
     Dropped,
-    /// It is on its way still when its sender gives it up.
-    Stray,
+    /// It times out for its sender and may take effect later.
+    Delayed,
 }
 
-/// What happens to a call.
+/// Course of a call that is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Serve {
+pub(crate) enum Delivery {
     /// It runs and is answered.
     Answer,
-    /// It runs and the server dies before it answers.
-    Die,
-    /// It never arrives; the sender cannot know.
-    Vanish,
-    /// No connection could be made.
+    /// It runs, and the server crashes before it answers.
+    Crash,
+    /// It never arrives; the sender cannot know that.
+    Dropped,
+    /// The connection is refused, so it is certain not to have been sent.
     Refuse,
 }
 
-/// One submission and the work under way for it.
+/// Submission and its action in progress.
 pub(crate) struct Call {
     pub(crate) submission: Submission,
     pub(crate) key: String,
     pub(crate) router: usize,
     pub(crate) work: Option<Action>,
-    pub(crate) told: Option<Answer>,
+    pub(crate) answer: Option<Answer>,
     pub(crate) times: Times,
     owner: Owner,
 }
 
-/// A router.
+/// State of a router.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Router {
     pub(crate) is_dead: bool,
     pub(crate) is_paused: bool,
-    pub(crate) is_parted: bool,
+    pub(crate) is_partitioned: bool,
 }
 
-/// Everything.
+/// Routers, submissions, and the rows of the table.
 #[derive(Default)]
 pub(crate) struct World {
     pub(crate) now: Millis,
     pub(crate) routers: Vec<Router>,
     pub(crate) calls: Vec<Call>,
-    /// Work whose sender has given it up.
-    pub(crate) strays: Vec<(usize, Action)>,
+    /// Actions that their senders have abandoned and that may still take effect, by submission.
+    pub(crate) delayed: Vec<(usize, Action)>,
     pub(crate) runs: Vec<String>,
     pub(crate) log: Vec<String>,
     rows: Vec<(String, VersionedRecord)>,
@@ -94,51 +94,51 @@
             key: key.to_owned(),
             router,
             work: None,
-            told: None,
+            answer: None,
             times,
             owner,
         });
-        self.take(self.calls.len() - 1, vec![action]);
+        self.perform(self.calls.len() - 1, vec![action]);
     }
 
-    /// Whether a submission's router acts at all.
-    pub(crate) fn acts(&self, i: usize) -> bool {
+    /// Whether the router of a submission is neither dead nor paused.
+    pub(crate) fn is_running(&self, i: usize) -> bool {
         let router = self.routers[self.calls[i].router];
         !router.is_dead && !router.is_paused
     }
 
-    /// Ends the table work of a submission, if it has some.
-    pub(crate) fn settle(&mut self, i: usize, fate: Fate) {
+    /// Completes the table access of a submission, if one is in progress.
+    pub(crate) fn complete_access(&mut self, i: usize, access: Access) {
         let is_table =
             |a: &mut Action| matches!(a, Action::Write(..) | Action::Delete(_) | Action::Read);
-        if !self.acts(i) {
+        if !self.is_running(i) {
             return;
         }
         let Some(action) = self.calls[i].work.take_if(is_table) else {
             return;
         };
-        let fate = match self.routers[self.calls[i].router].is_parted {
-            true => Fate::Dropped,
-            false => fate,
+        let access = match self.routers[self.calls[i].router].is_partitioned {
+            true => Access::Dropped,
+            false => access,
         };
-        let event = match fate {
-            Fate::Whole => self.carry_out(i, &action),
-            Fate::Lost => {
+        let event = match access {
+            Access::Applied => self.carry_out(i, &action),
+            Access::AnswerLost => {
                 self.carry_out(i, &action);
                 Event::Unconfirmed
             }
-            Fate::Dropped => Event::Unconfirmed,
-            Fate::Stray => {
-                self.strays.push((i, action));
+            Access::Dropped => Event::Unconfirmed,
+            Access::Delayed => {
+                self.delayed.push((i, action));
                 Event::Unconfirmed
             }
         };
-        self.feed(i, event);
+        self.handle(i, event);
     }
 
-    /// Chooses a backend server for a submission, or finds none.
-    pub(crate) fn pick(&mut self, i: usize, is_found: bool) {
-        if self.acts(i)
+    /// Completes the selection of a backend server for a submission.
+    pub(crate) fn complete_selection(&mut self, i: usize, is_found: bool) {
+        if self.is_running(i)
             && self.calls[i]
                 .work
                 .take_if(|a| *a == Action::SelectServer)
@@ -149,32 +149,32 @@
             } else {
                 Event::NoServer
             };
-            self.feed(i, event);
+            self.handle(i, event);
         }
     }
 
-    /// Ends the sending of a call.
-    pub(crate) fn serve(&mut self, i: usize, serve: Serve) {
-        if !self.acts(i) || self.calls[i].work.take_if(|a| *a == Action::Send).is_none() {
+    /// Completes the sending of a call.
+    pub(crate) fn complete_send(&mut self, i: usize, delivery: Delivery) {
+        if !self.is_running(i) || self.calls[i].work.take_if(|a| *a == Action::Send).is_none() {
             return;
         }
-        if matches!(serve, Serve::Answer | Serve::Die) {
+        if matches!(delivery, Delivery::Answer | Delivery::Crash) {
             self.run(i);
         }
-        let event = match serve {
-            Serve::Answer => Event::Answered(outcome(i)),
-            Serve::Die | Serve::Vanish => Event::NoAnswer,
-            Serve::Refuse => Event::NotSent,
+        let event = match delivery {
+            Delivery::Answer => Event::Answered(outcome(i)),
+            Delivery::Crash | Delivery::Dropped => Event::NoAnswer,
+            Delivery::Refuse => Event::NotSent,
         };
-        self.feed(i, event);
+        self.handle(i, event);
     }
 
-    /// Lets work arrive whose sender has given it up; it may be long dead.
-    pub(crate) fn land(&mut self, stray: usize) {
-        if stray >= self.strays.len() {
+    /// Carries out an abandoned action; its sender may be dead by now.
+    pub(crate) fn deliver(&mut self, index: usize) {
+        if index >= self.delayed.len() {
             return;
         }
-        let (i, action) = self.strays.remove(stray);
+        let (i, action) = self.delayed.remove(index);
         if action == Action::Send {
             self.run(i);
         } else {
@@ -182,50 +182,50 @@
         }
     }
 
-    /// Lets time pass and wakes what is due.
+    /// Advances the time and reports timers that are due.
     pub(crate) fn advance(&mut self, span: u64) {
         self.now = self.now + Millis(span);
         for i in 0..self.calls.len() {
-            if self.acts(i) && self.calls[i].submission.due() <= self.now {
-                self.feed(i, Event::TimerFired);
+            if self.is_running(i) && self.calls[i].submission.due() <= self.now {
+                self.handle(i, Event::TimerFired);
             }
         }
     }
 
-    /// Ends a router; what it had sent stays on its way.
+    /// Kills a router; its actions in progress may still take effect.
     pub(crate) fn kill(&mut self, router: usize) {
         self.routers[router].is_dead = true;
         for i in 0..self.calls.len() {
             if self.calls[i].router == router {
-                self.stray(i);
+                self.abandon(i);
             }
         }
     }
 
-    /// What must hold at any moment.
+    /// Checks that no call was sent late, and that no key ran twice or in spite of `NotRun`.
     pub(crate) fn check(&self) -> Result<(), String> {
         if self.late_sends > 0 {
-            return Err("a call was sent after its time".to_owned());
+            return Err("a call was sent at or after `send_by`".to_owned());
         }
         for call in &self.calls {
             let runs = self.count(&call.key);
             if runs > 1 {
                 return Err(format!("{} ran {runs} times", call.key));
             }
-            if call.told == Some(Answer::NotRun) && runs > 0 {
+            if call.answer == Some(Answer::NotRun) && runs > 0 {
                 return Err(format!("{} ran after `not_run`", call.key));
             }
         }
         Ok(())
     }
 
-    /// Whether each live submission has ended for its caller once its time is up.
-    pub(crate) fn check_told(&self) -> Result<(), String> {
+    /// Checks that each submission on a running router has answered its caller by the deadline.
+    pub(crate) fn check_answered(&self) -> Result<(), String> {
         for (i, call) in self.calls.iter().enumerate() {
             let is_late = self.now >= call.times.deadline;
-            if self.acts(i) && is_late && call.told.is_none() {
+            if self.is_running(i) && is_late && call.answer.is_none() {
                 return Err(format!(
-                    "s{i} was told nothing in {}",
+                    "s{i} in phase {} has not answered by its deadline",
                     call.submission.phase()
                 ));
             }
@@ -243,36 +243,39 @@
         self.runs.push(key);
     }
 
-    fn feed(&mut self, i: usize, event: Event) {
+    fn handle(&mut self, i: usize, event: Event) {
         let now = self.now;
         let actions = self.calls[i].submission.handle(now, event);
-        self.take(i, actions);
+        self.perform(i, actions);
     }
 
-    fn take(&mut self, i: usize, actions: Vec<Action>) {
+    fn perform(&mut self, i: usize, actions: Vec<Action>) {
         for action in actions {
             self.log.push(format!("s{i} {}", show(&action)));
             if let Action::Answer(answer) = action {
-                assert_eq!(self.calls[i].told, None, "one answer a submission");
-                self.calls[i].told = Some(answer);
+                assert_eq!(
+                    self.calls[i].answer, None,
+                    "a submission has answered twice"
+                );
+                self.calls[i].answer = Some(answer);
                 continue;
             }
             if action == Action::Send && self.now >= self.calls[i].times.send_by {
                 self.late_sends += 1;
             }
-            self.stray(i);
+            self.abandon(i);
             self.calls[i].work = Some(action);
         }
         if self.calls[i].submission.phase() == Phase::Over {
-            self.stray(i);
+            self.abandon(i);
         }
     }
 
-    /// What is replaced may be on its way all the same.
-    fn stray(&mut self, i: usize) {
+    /// Abandons the action in progress; unless it only reads or selects, it may still take effect.
+    fn abandon(&mut self, i: usize) {
         let work = self.calls[i].work.take();
         if let Some(action) = work.filter(|a| !matches!(a, Action::Read | Action::SelectServer)) {
-            self.strays.push((i, action));
+            self.delayed.push((i, action));
         }
     }
 
@@ -308,7 +311,7 @@
     }
 }
 
-/// The answer of the backend server to submission `i`.
+/// Answer of the backend server to submission `i`.
 pub(crate) fn outcome(i: usize) -> Outcome {
     Outcome {
         status: 200,
