--- a/crates/admission/src/budget.rs
+++ b/crates/admission/src/budget.rs
@@ -1,36 +1,36 @@
-//! A bound on retries as a part of the first tries.
+//! Limit on retries as a percentage of first attempts.
 
-/// The retries allowed at once, besides those earned.
-const BURST: u64 = 10;
+/// Most retries that a budget holds, also when it is new.
+const MAX_SAVED: u64 = 10;
 
-/// The price of one retry, in the unit in which first tries earn.
-const PRICE: u64 = 100;
+/// Tokens that one retry costs; a first attempt adds its percentage in tokens.
+const RETRY_TOKENS: u64 = 100;
 
-/// Retries earned by first tries.
+/// Token bucket that first attempts fill and retries drain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Budget {
-    held: u64,
+pub struct RetryBudget {
+    tokens: u64,
 }
 
-impl Default for Budget {
+impl Default for RetryBudget {
     fn default() -> Self {
         Self {
-            held: BURST * PRICE,
+            tokens: MAX_SAVED * RETRY_TOKENS,
         }
     }
 }
 
-impl Budget {
-    /// A first try earns `percent` of a retry.
+impl RetryBudget {
+    /// Adds the tokens for a first attempt, which earns `percent` hundredths of a retry.
     pub fn earn(&mut self, percent: u32) {
-        self.held = (self.held + u64::from(percent)).min(BURST * PRICE);
+        self.tokens = (self.tokens + u64::from(percent)).min(MAX_SAVED * RETRY_TOKENS);
     }
 
-    /// Takes one retry, if there is one.
+    /// Takes the tokens of one retry; returns `false` if there are too few.
     pub fn spend(&mut self) -> bool {
-        match self.held.checked_sub(PRICE) {
+        match self.tokens.checked_sub(RETRY_TOKENS) {
             Some(rest) => {
-                self.held = rest;
+                self.tokens = rest;
                 true
             }
             None => false,
--- a/crates/calls/src/batch.rs
+++ b/crates/calls/src/batch.rs
@@ -1,24 +1,24 @@
-//! Writes of many calls in one transaction.
+//! Batches of conditional row writes, one table transaction each.
 //!
-//! A transaction takes effect whole or not at all, so a row whose condition does not hold is
-//! answered from the conflict and the rest goes again without it. A row stands at most once in a
-//! transaction: two claims of one key in one transaction would both see it absent.
+//! A transaction is atomic: if the conditions of some writes do not hold, these are answered from
+//! the reported conflict, and the others are queued again. A row has at most one write in
+//! flight: two claims of one key in one transaction would both find the row absent.
 
 use base::prelude::*;
 use serde::{Deserialize, Serialize};
 
-use crate::once::Expected;
-use crate::record::{Held, Record};
+use crate::record::{Record, VersionedRecord};
+use crate::submission::Expected;
 
-/// When a transaction is sent.
+/// Limits on the delay, size and number of transactions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Policy {
-    /// How long the first write waits for others, in milliseconds.
+    /// Time that the first write of a batch waits for others, in milliseconds.
     pub delay_ms: u64,
-    /// The most writes in one transaction.
+    /// Maximum number of writes in one transaction.
     pub size: usize,
-    /// The most transactions under way.
+    /// Maximum number of transactions in flight.
     pub inflight: usize,
 }
 
@@ -32,84 +32,88 @@
     }
 }
 
-/// One write.
+/// Conditional write of one row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Write {
-    /// Whose write it is.
+    /// Number under which [`Batcher::reply`] reports the verdict.
     pub ticket: u64,
-    /// The row.
+    /// Row key.
     pub key: String,
-    /// What the row must be.
+    /// Condition on the current row.
     pub expected: Expected,
-    /// The new value; none takes the row away.
+    /// New value; `None` deletes the row.
     pub record: Option<Record>,
 }
 
-/// What became of a write.
+/// Result of a write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It took effect and made this version.
+    /// It took effect; carries the new row version.
     Committed(u64),
-    /// It had no effect; the row is as given.
-    Found(Option<Held>),
-    /// It may have taken effect, or may yet.
-    Failed,
+    /// Its condition did not hold; carries the current row, if any.
+    Found(Option<VersionedRecord>),
+    /// It may have taken effect, or may still do so.
+    Unconfirmed,
 }
 
-/// The answer to a transaction.
+/// Result of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// It took effect; the versions in order of the writes.
+    /// It took effect; carries the new row versions in the order of the writes.
     Committed(Vec<u64>),
-    /// It had no effect; the writes whose condition did not hold, by index, and their rows.
-    Conflict(Vec<(usize, Option<Held>)>),
-    /// There is no certain answer.
-    Failed,
+    /// It had no effect; carries the index and current row of each write that conflicts.
+    Conflict(Vec<(usize, Option<VersionedRecord>)>),
+    /// It may have taken effect, or may still do so.
+    Unconfirmed,
 }
 
-/// Writes that wait and transactions under way.
+/// Queued writes and transactions in flight.
 #[derive(Clone, Debug)]
 pub struct Batcher {
     policy: Policy,
     queue: Vec<(Millis, Write)>,
-    flights: Vec<(u64, Vec<Write>)>,
-    last: u64,
+    in_flight: Vec<(u64, Vec<Write>)>,
+    last_number: u64,
 }
 
 impl Batcher {
-    /// An empty batcher.
+    /// A batcher with an empty queue.
     pub fn new(policy: Policy) -> Self {
         Self {
             policy,
             queue: Vec::new(),
-            flights: Vec::new(),
-            last: 0,
+            in_flight: Vec::new(),
+            last_number: 0,
         }
     }
 
-    /// Adds a write.
+    /// Queues a write, which is due after [`Policy::delay_ms`].
     pub fn push(&mut self, now: Millis, write: Write) {
         self.queue.push((now + Millis(self.policy.delay_ms), write));
     }
 
-    /// Withdraws writes that are not under way yet and that nobody wants, by ticket.
+    /// Removes the queued writes for whose ticket `is_wanted` is false; those in flight stay.
     pub fn withdraw(&mut self, mut is_wanted: impl FnMut(u64) -> bool) {
         self.queue.retain(|(_, write)| is_wanted(write.ticket));
     }
 
-    /// When the next transaction is due, as far as is known now.
+    /// Time at which to call [`Batcher::next`]; `Millis::MAX` until a push or reply.
     pub fn due(&self) -> Millis {
-        if self.flights.len() >= self.policy.inflight.max(1) {
+        if self.in_flight.len() >= self.policy.inflight.max(1) {
             return Millis::MAX;
         }
-        let open = || self.queue.iter().filter(|(_, w)| !self.is_flying(&w.key));
-        if open().count() >= self.policy.size.max(1) {
+        let ready = || {
+            self.queue
+                .iter()
+                .filter(|(_, w)| !self.is_in_flight(&w.key))
+        };
+        if ready().count() >= self.policy.size.max(1) {
             return Millis(0);
         }
-        open().map(|(at, _)| *at).min().unwrap_or(Millis::MAX)
+        ready().map(|(at, _)| *at).min().unwrap_or(Millis::MAX)
     }
 
-    /// The transaction to send now, with its number.
+    /// Number and writes of the transaction to send now, if one is due.
     pub fn next(&mut self, now: Millis) -> Option<(u64, Vec<Write>)> {
         if self.due() > now {
             return None;
@@ -117,73 +121,81 @@
         let mut writes: Vec<Write> = Vec::new();
         let mut rest = Vec::new();
         for (at, write) in std::mem::take(&mut self.queue) {
-            let is_twice = writes.iter().any(|w| w.key == write.key);
-            if is_twice || self.is_flying(&write.key) || writes.len() >= self.policy.size.max(1) {
+            let is_duplicate = writes.iter().any(|w| w.key == write.key);
+            if is_duplicate
+                || self.is_in_flight(&write.key)
+                || writes.len() >= self.policy.size.max(1)
+            {
                 rest.push((at, write));
             } else {
                 writes.push(write);
             }
         }
         self.queue = rest;
-        self.last += 1;
-        self.flights.push((self.last, writes.clone()));
-        Some((self.last, writes))
+        self.last_number += 1;
+        self.in_flight.push((self.last_number, writes.clone()));
+        Some((self.last_number, writes))
     }
 
-    /// Takes in the answer to a transaction; returns what became of writes, by ticket.
+    /// Handles the result of a transaction; returns verdicts by ticket.
     ///
-    /// Writes that failed only for the sake of others go again at once.
+    /// Writes that had no effect only because others conflicted are queued again, due at once.
     pub fn reply(&mut self, now: Millis, number: u64, reply: Reply) -> Vec<(u64, Verdict)> {
-        let Some(i) = self.flights.iter().position(|(n, _)| *n == number) else {
+        let Some(i) = self.in_flight.iter().position(|(n, _)| *n == number) else {
             return Vec::new();
         };
-        let (_, writes) = self.flights.remove(i);
+        let (_, writes) = self.in_flight.remove(i);
         match reply {
             Reply::Committed(versions) if versions.len() == writes.len() => writes
                 .iter()
                 .zip(versions)
                 .map(|(w, version)| (w.ticket, Verdict::Committed(version)))
                 .collect(),
-            Reply::Conflict(unmet) if !unmet.is_empty() => self.split(now, writes, unmet),
-            _ => writes.iter().map(|w| (w.ticket, Verdict::Failed)).collect(),
+            Reply::Conflict(conflicts) if !conflicts.is_empty() => {
+                self.resolve_conflict(now, writes, conflicts)
+            }
+            _ => writes
+                .iter()
+                .map(|w| (w.ticket, Verdict::Unconfirmed))
+                .collect(),
         }
     }
 
-    /// How many writes wait or are under way.
+    /// Number of writes that are queued or in flight.
     pub fn len(&self) -> usize {
-        let flying: usize = self.flights.iter().map(|(_, w)| w.len()).sum();
-        self.queue.len() + flying
+        let in_flight: usize = self.in_flight.iter().map(|(_, w)| w.len()).sum();
+        self.queue.len() + in_flight
     }
 
-    /// Whether there are none.
+    /// Whether no write is queued or in flight.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    fn split(
+    fn resolve_conflict(
         &mut self,
         now: Millis,
         writes: Vec<Write>,
-        mut unmet: Vec<(usize, Option<Held>)>,
+        mut conflicts: Vec<(usize, Option<VersionedRecord>)>,
     ) -> Vec<(u64, Verdict)> {
         let mut verdicts = Vec::new();
-        let mut again = Vec::new();
+        let mut retried = Vec::new();
         for (index, write) in writes.into_iter().enumerate() {
-            match unmet.iter().position(|(i, _)| *i == index) {
+            match conflicts.iter().position(|(i, _)| *i == index) {
                 Some(at) => {
-                    let (_, held) = unmet.swap_remove(at);
-                    verdicts.push((write.ticket, Verdict::Found(held)));
+                    let (_, row) = conflicts.swap_remove(at);
+                    verdicts.push((write.ticket, Verdict::Found(row)));
                 }
-                None => again.push((now, write)),
+                None => retried.push((now, write)),
             }
         }
-        again.append(&mut self.queue);
-        self.queue = again;
+        retried.append(&mut self.queue);
+        self.queue = retried;
         verdicts
     }
 
-    fn is_flying(&self, key: &str) -> bool {
-        let holds = |(_, writes): &(u64, Vec<Write>)| writes.iter().any(|w| w.key == key);
-        self.flights.iter().any(holds)
+    fn is_in_flight(&self, key: &str) -> bool {
+        let has_key = |(_, writes): &(u64, Vec<Write>)| writes.iter().any(|w| w.key == key);
+        self.in_flight.iter().any(has_key)
     }
 }
