--- a/crates/balance/src/lib.rs
+++ b/crates/balance/src/lib.rs
@@ -8,6 +8,6 @@
 pub mod place;
 pub mod rule;
 
-pub use choice::{Ask, Server, choose};
+pub use choice::{ChoiceRequest, Server, choose};
 pub use health::Health;
 pub use rule::Rule;
--- a/crates/balance/src/place.rs
+++ b/crates/balance/src/place.rs
@@ -9,7 +9,7 @@
 
 use base::hash::{rendezvous, stable};
 
-/// What this host has placed at a server and what the server has told.
+/// What this host has placed at a server and what the server has reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
     /// Tokens of prompts that have given no output yet.
@@ -17,7 +17,7 @@
     /// Tokens of memory for the generations that run, with their output.
     pub memory: u64,
     /// Tokens of memory for copies of generations that run elsewhere.
-    pub copies: u64,
+    pub backups: u64,
     /// Requests in flight.
     pub running: u64,
 }
@@ -28,11 +28,11 @@
     /// The server.
     pub server: &'a str,
     /// Its data centre.
-    pub centre: &'a str,
+    pub data_centre: &'a str,
     /// Whether it is left out for its failures.
     pub is_ejected: bool,
     /// Whether another host has found it to be gone, which this host has not seen itself.
-    pub is_doubtful: bool,
+    pub is_suspected: bool,
     /// Its load.
     pub load: Load,
     /// The tokens that its memory holds; 0 for a plain service.
@@ -41,7 +41,7 @@
 
 /// What is to be placed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Wish<'a> {
+pub struct PlaceRequest<'a> {
     /// Tokens of memory that are needed.
     pub memory: u64,
     /// Servers that are taken only if there is no other.
@@ -51,9 +51,9 @@
     /// A data centre whose servers are taken before others, if they have room.
     pub prefer_centre: Option<&'a str>,
     /// A number that spreads equal choices, drawn at random.
-    pub spread: u64,
+    pub seed: u64,
     /// A hash of the prompt that is the same for each repeat of the request.
-    pub content: Option<u64>,
+    pub prompt_hash: Option<u64>,
 }
 
 /// What a server has just said of itself.
@@ -72,18 +72,22 @@
 /// Answers streams that callers continue through another host after theirs has failed: all hosts find
 /// the same few servers for the same prompt, by rendezvous hashing, and the one that ran it before
 /// still has it in its memory.
-pub fn shortlist(candidates: &[Candidate<'_>], wish: &Wish<'_>, count: usize) -> Vec<usize> {
-    let key = format!("{:x}", wish.content.unwrap_or(wish.spread));
-    let mut found: Vec<usize> = (0..candidates.len())
+pub fn shortlist(
+    candidates: &[Candidate<'_>],
+    request: &PlaceRequest<'_>,
+    count: usize,
+) -> Vec<usize> {
+    let key = format!("{:x}", request.prompt_hash.unwrap_or(request.seed));
+    let mut eligible: Vec<usize> = (0..candidates.len())
         .filter(|i| !candidates[*i].is_ejected)
         .collect();
-    found.sort_by_cached_key(|i| {
+    eligible.sort_by_cached_key(|i| {
         let c = &candidates[*i];
-        let is_last = wish.avoid.contains(&c.server);
-        (is_last, c.is_doubtful, Reverse(rendezvous(&key, c.server)))
+        let is_last = request.avoid.contains(&c.server);
+        (is_last, c.is_suspected, Reverse(rendezvous(&key, c.server)))
     });
-    found.truncate(count);
-    found
+    eligible.truncate(count);
+    eligible
 }
 
 /// The memory that a generation needs.
@@ -100,9 +104,9 @@
 impl Need {
     /// Whether a server has room until the generation ends: for those that wait there as well, and for what
     /// those that run have yet to give, half of their output each, if all are of this size.
-    fn fits(&self, told: &LoadReport) -> bool {
-        let growth = told.waiting * self.memory + told.running * self.output / 2;
-        self.capacity == 0 || told.used + growth + self.memory <= self.capacity
+    fn fits(&self, report: &LoadReport) -> bool {
+        let growth = report.waiting * self.memory + report.running * self.output / 2;
+        self.capacity == 0 || report.used + growth + self.memory <= self.capacity
     }
 
     /// Whether one of the servers that were asked has room.
@@ -111,7 +115,7 @@
     /// are full, a generation would interrupt another one, or be interrupted itself, and its prompt be read
     /// again.
     pub fn fits_any(&self, reports: &[Option<LoadReport>]) -> bool {
-        reports.iter().flatten().any(|t| self.fits(t))
+        reports.iter().flatten().any(|r| self.fits(r))
     }
 }
 
@@ -119,36 +123,38 @@
 ///
 /// Answers a fleet of many hosts, each of which sees little of a server's load: a few servers are
 /// asked, and the prompt goes where the fewest prompts wait; among equals, to the first.
-pub fn best(reports: &[Option<LoadReport>], need: &Need) -> Option<usize> {
+pub fn best_report(reports: &[Option<LoadReport>], need: &Need) -> Option<usize> {
     let order = |i: &usize| match reports[*i] {
-        Some(t) => (false, !need.fits(&t), t.waiting, t.running, *i),
+        Some(r) => (false, !need.fits(&r), r.waiting, r.running, *i),
         None => (true, false, 0, 0, *i),
     };
     (0..reports.len()).min_by_key(order)
 }
 
 /// The index of the server to use, if there is any that is not left out.
-pub fn place(candidates: &[Candidate<'_>], wish: &Wish<'_>) -> Option<usize> {
+pub fn place(candidates: &[Candidate<'_>], request: &PlaceRequest<'_>) -> Option<usize> {
     (0..candidates.len())
         .filter(|i| !candidates[*i].is_ejected)
-        .min_by_key(|i| order(candidates, wish, *i))
+        .min_by_key(|i| rank(candidates, request, *i))
 }
 
 /// What makes one server better than another; the least is the best.
-type Order = (bool, bool, bool, bool, bool, u64, u64, u64, u64);
+type Rank = (bool, bool, bool, bool, bool, u64, u64, u64, u64);
 
-fn order(candidates: &[Candidate<'_>], wish: &Wish<'_>, i: usize) -> Order {
+fn rank(candidates: &[Candidate<'_>], request: &PlaceRequest<'_>, i: usize) -> Rank {
     let c = &candidates[i];
-    let used = c.load.memory + c.load.copies;
+    let used = c.load.memory + c.load.backups;
     (
-        wish.avoid.contains(&c.server),
-        c.is_doubtful,
-        wish.avoid_centre == Some(c.centre),
-        c.capacity > 0 && used + wish.memory > c.capacity,
-        wish.prefer_centre.is_some_and(|centre| centre != c.centre),
+        request.avoid.contains(&c.server),
+        c.is_suspected,
+        request.avoid_centre == Some(c.data_centre),
+        c.capacity > 0 && used + request.memory > c.capacity,
+        request
+            .prefer_centre
+            .is_some_and(|centre| centre != c.data_centre),
         c.load.prefill,
         used,
         c.load.running,
-        stable(&(wish.spread ^ (i as u64).rotate_left(32)).to_le_bytes()),
+        stable(&(request.seed ^ (i as u64).rotate_left(32)).to_le_bytes()),
     )
 }
--- a/crates/balance/tests/prompt_placement.rs
+++ b/crates/balance/tests/prompt_placement.rs
@@ -1,11 +1,13 @@
 //! Placement of prompts where the memory of engines is the limit.
 
-use balance::place::{Candidate, Load, LoadReport, Need, Wish, best, place, shortlist};
+use balance::place::{
+    Candidate, Load, LoadReport, Need, PlaceRequest, best_report, place, shortlist,
+};
 
 fn candidate(server: &str) -> Candidate<'_> {
     Candidate {
         server,
-        centre: "a",
+        data_centre: "a",
         capacity: 50_000,
         ..Candidate::default()
     }
@@ -19,7 +21,7 @@
 }
 
 #[test]
-fn least_waiting_prompt_first() {
+fn least_prefill_first() {
     let reading = Load {
         prefill: 5_000,
         memory: 6_000,
@@ -30,7 +32,7 @@
         ..Load::default()
     };
     let candidates = [busy("reading", reading), busy("running", running)];
-    let chosen = place(&candidates, &Wish::default()).unwrap();
+    let chosen = place(&candidates, &PlaceRequest::default()).unwrap();
     assert_eq!(candidates[chosen].server, "running");
 }
 
@@ -38,7 +40,7 @@
 fn full_memory_comes_last() {
     let nearly_full = Load {
         memory: 30_000,
-        copies: 16_000,
+        backups: 16_000,
         ..Load::default()
     };
     let reading = Load {
@@ -46,43 +48,43 @@
         ..Load::default()
     };
     let candidates = [busy("full", nearly_full), busy("reading", reading)];
-    let wish = Wish {
+    let request = PlaceRequest {
         memory: 6_000,
-        ..Wish::default()
+        ..PlaceRequest::default()
     };
-    assert_eq!(place(&candidates, &wish), Some(1));
+    assert_eq!(place(&candidates, &request), Some(1));
 }
 
 #[test]
-fn failures_and_doubts() {
+fn ejected_and_suspected_servers() {
     let ejected = Candidate {
         is_ejected: true,
         ..candidate("ejected")
     };
-    let doubtful = Candidate {
-        is_doubtful: true,
-        ..candidate("doubtful")
+    let suspected = Candidate {
+        is_suspected: true,
+        ..candidate("suspected")
     };
-    assert_eq!(place(&[ejected], &Wish::default()), None);
-    let candidates = [ejected, doubtful, candidate("sound")];
-    assert_eq!(place(&candidates, &Wish::default()), Some(2));
+    assert_eq!(place(&[ejected], &PlaceRequest::default()), None);
+    let candidates = [ejected, suspected, candidate("sound")];
+    assert_eq!(place(&candidates, &PlaceRequest::default()), Some(2));
     assert_eq!(
-        place(&candidates[..2], &Wish::default()),
+        place(&candidates[..2], &PlaceRequest::default()),
         Some(1),
         "better than none"
     );
     let avoid = ["sound"];
-    let wish = Wish {
+    let request = PlaceRequest {
         avoid: &avoid,
-        ..Wish::default()
+        ..PlaceRequest::default()
     };
-    assert_eq!(place(&candidates, &wish), Some(1));
+    assert_eq!(place(&candidates, &request), Some(1));
 }
 
 #[test]
-fn another_centre_for_copies() {
+fn backup_in_another_data_centre() {
     let far = Candidate {
-        centre: "b",
+        data_centre: "b",
         load: Load {
             memory: 20_000,
             ..Load::default()
@@ -90,18 +92,18 @@
         ..candidate("far")
     };
     let candidates = [candidate("near"), far];
-    let wish = Wish {
+    let request = PlaceRequest {
         avoid_centre: Some("a"),
-        ..Wish::default()
+        ..PlaceRequest::default()
     };
-    assert_eq!(place(&candidates, &wish), Some(1));
+    assert_eq!(place(&candidates, &request), Some(1));
 }
 
 /// The run is in a, the host in b: when b is cut off, the copy there is what the host has left.
 #[test]
-fn copies_in_the_hosts_own_centre() {
+fn backup_in_the_hosts_data_centre() {
     let own = |memory| Candidate {
-        centre: "b",
+        data_centre: "b",
         ..busy(
             "own",
             Load {
@@ -111,24 +113,24 @@
         )
     };
     let third = Candidate {
-        centre: "c",
+        data_centre: "c",
         ..candidate("third")
     };
-    let wish = Wish {
+    let request = PlaceRequest {
         memory: 6_000,
         avoid_centre: Some("a"),
         prefer_centre: Some("b"),
-        ..Wish::default()
+        ..PlaceRequest::default()
     };
-    let chosen = |own| place(&[candidate("near"), own, third], &wish);
+    let chosen = |own| place(&[candidate("near"), own, third], &request);
     assert_eq!(chosen(own(30_000)), Some(1));
     assert_eq!(chosen(own(45_000)), Some(2), "it has no room");
-    let at_home = Wish {
+    let local_primary = PlaceRequest {
         avoid_centre: Some("b"),
-        ..wish
+        ..request
     };
     assert_ne!(
-        place(&[candidate("near"), own(0), third], &at_home),
+        place(&[candidate("near"), own(0), third], &local_primary),
         Some(1)
     );
 }
@@ -137,12 +139,12 @@
 fn equal_choices_are_spread() {
     let candidates = ["a", "b", "c", "d"].map(candidate);
     let mut taken = [0; 4];
-    for spread in 0..400 {
-        let wish = Wish {
-            spread,
-            ..Wish::default()
+    for seed in 0..400 {
+        let request = PlaceRequest {
+            seed,
+            ..PlaceRequest::default()
         };
-        taken[place(&candidates, &wish).unwrap()] += 1;
+        taken[place(&candidates, &request).unwrap()] += 1;
     }
     assert!(taken.iter().all(|n| *n > 50), "{taken:?}");
 }
@@ -150,24 +152,24 @@
 #[test]
 fn same_prompt_same_servers() {
     let candidates = ["a", "b", "c", "d", "e"].map(candidate);
-    let wish = |content, spread| Wish {
-        content: Some(content),
-        spread,
-        ..Wish::default()
+    let request = |prompt_hash, seed| PlaceRequest {
+        prompt_hash: Some(prompt_hash),
+        seed,
+        ..PlaceRequest::default()
     };
     let mut firsts = [0; 5];
-    for content in 0..500 {
-        let list = shortlist(&candidates, &wish(content, 1), 3);
-        assert_eq!(list, shortlist(&candidates, &wish(content, 2), 3));
+    for prompt_hash in 0..500 {
+        let list = shortlist(&candidates, &request(prompt_hash, 1), 3);
+        assert_eq!(list, shortlist(&candidates, &request(prompt_hash, 2), 3));
         assert_eq!(list.len(), 3);
         firsts[list[0]] += 1;
     }
     assert!(firsts.iter().all(|n| *n > 50), "{firsts:?}");
     // Without the one that failed, the others keep their order.
-    let list = shortlist(&candidates, &wish(7, 1), 5);
+    let list = shortlist(&candidates, &request(7, 1), 5);
     let mut fewer = candidates;
     fewer[list[0]].is_ejected = true;
-    assert_eq!(shortlist(&fewer, &wish(7, 1), 4), list[1..]);
+    assert_eq!(shortlist(&fewer, &request(7, 1), 4), list[1..]);
 }
 
 const NEED: Need = Need {
@@ -177,8 +179,8 @@
 };
 
 #[test]
-fn told_load_decides() {
-    let told = |waiting, running, used| {
+fn reported_load_decides() {
+    let report = |waiting, running, used| {
         Some(LoadReport {
             waiting,
             running,
@@ -186,44 +188,48 @@
         })
     };
     assert_eq!(
-        best(&[told(1, 1, 9_000), told(0, 6, 30_000)], &NEED),
+        best_report(&[report(1, 1, 9_000), report(0, 6, 30_000)], &NEED),
         Some(1)
     );
     assert_eq!(
-        best(&[told(0, 9, 9_000), told(0, 1, 30_000)], &NEED),
+        best_report(&[report(0, 9, 9_000), report(0, 1, 30_000)], &NEED),
         Some(1)
     );
     assert_eq!(
-        best(&[told(0, 3, 9_000), told(0, 1, 3_000)], &NEED),
+        best_report(&[report(0, 3, 9_000), report(0, 1, 3_000)], &NEED),
         Some(1)
     );
     // Among equals the first, which may hold the prompt, whatever its memory holds.
     assert_eq!(
-        best(&[told(0, 1, 9_000), told(0, 1, 3_000)], &NEED),
+        best_report(&[report(0, 1, 9_000), report(0, 1, 3_000)], &NEED),
         Some(0)
     );
     assert_eq!(
-        best(&[told(0, 0, 52_000), told(2, 3, 9_000)], &NEED),
+        best_report(&[report(0, 0, 52_000), report(2, 3, 9_000)], &NEED),
         Some(1)
     );
-    assert_eq!(best(&[None, told(5, 9, 54_000)], &NEED), Some(1));
-    assert_eq!(best(&[None, None], &NEED), Some(0));
+    assert_eq!(best_report(&[None, report(5, 9, 54_000)], &NEED), Some(1));
+    assert_eq!(best_report(&[None, None], &NEED), Some(0));
 }
 
 /// Servers on which others have yet to grow: without room for that, one is interrupted and read again.
 #[test]
-fn room_for_those_that_run() {
-    let told = |waiting, running, used| {
+fn room_for_output_growth() {
+    let report = |waiting, running, used| {
         Some(LoadReport {
             waiting,
             running,
             used,
         })
     };
-    let (grows, waits, fits) = (told(0, 9, 46_000), told(1, 0, 44_000), told(0, 5, 46_000));
+    let (grows, waits, fits) = (
+        report(0, 9, 46_000),
+        report(1, 0, 44_000),
+        report(0, 5, 46_000),
+    );
     assert!(!NEED.fits_any(&[grows, waits, None]));
     assert!(NEED.fits_any(&[grows, fits]));
-    assert_eq!(best(&[grows, told(1, 2, 20_000)], &NEED), Some(1));
+    assert_eq!(best_report(&[grows, report(1, 2, 20_000)], &NEED), Some(1));
     let plain = Need {
         capacity: 0,
         ..NEED
--- a/crates/balance/tests/server_choice.rs
+++ b/crates/balance/tests/server_choice.rs
@@ -3,14 +3,14 @@
 //! A small model stands for the servers: each request placed stays, and reports are taken when the
 //! script says so, so that what routers know lags behind.
 
-use balance::{Ask, Health, Rule, Server, choose};
+use balance::{ChoiceRequest, Health, Rule, Server, choose};
 use base::hash::stable;
 use base::prelude::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
 #[derive(Clone, Default)]
-struct Node {
+struct ServerModel {
     name: String,
     rank: usize,
     slots: u64,
@@ -20,64 +20,69 @@
     is_frozen: bool,
     cached: u64,
     health: Health,
-    own: Vec<u64>,
+    in_flight: Vec<u64>,
     at_report: Vec<u64>,
 }
 
-struct World {
-    nodes: Vec<Node>,
+struct Simulation {
+    servers: Vec<ServerModel>,
     routers: usize,
     now: Millis,
     rule: Rule,
     seed: u64,
 }
 
-impl World {
-    fn place(&mut self, router: usize, prefix: Option<u64>, ask: &Ask<'_>) -> Option<usize> {
+impl Simulation {
+    fn place(
+        &mut self,
+        router: usize,
+        prefix: Option<u64>,
+        request: &ChoiceRequest<'_>,
+    ) -> Option<usize> {
         let now = self.now;
         let servers: Vec<Server<'_>> = self
-            .nodes
+            .servers
             .iter()
-            .map(|n| Server {
-                backend: &n.name,
+            .map(|s| Server {
+                backend: &s.name,
                 is_usable: true,
-                rank: n.rank,
-                own: n.own[router],
-                since: n.own[router] as i64 - n.at_report[router] as i64,
-                reported: n.reported,
-                age: n.age,
-                slots: n.slots,
-                cached: n.cached,
-                is_ejected: n.health.is_ejected(now),
-                ramp: n.health.ramp(now),
-                latency: n.health.latency(now),
-                resumes: n.own[router],
+                rank: s.rank,
+                in_flight: s.in_flight[router],
+                since_report: s.in_flight[router] as i64 - s.at_report[router] as i64,
+                reported_load: s.reported,
+                report_age: s.age,
+                slots: s.slots,
+                cached_blocks: s.cached,
+                is_ejected: s.health.is_ejected(now),
+                ramp_permille: s.health.ramp_permille(now),
+                latency_ms: s.health.latency(now),
+                resumes: s.in_flight[router],
             })
             .collect();
         self.seed += 1;
-        let ask = Ask {
-            spread: stable(&self.seed.to_le_bytes()),
-            turn: self.seed,
+        let request = ChoiceRequest {
+            seed: stable(&self.seed.to_le_bytes()),
+            sequence: self.seed,
             routers: self.routers as u64,
             prefix,
             rule: self.rule,
-            ..ask.clone()
+            ..request.clone()
         };
-        let chosen = choose(&servers, &ask)?;
-        self.nodes[chosen].own[router] += 1;
-        self.nodes[chosen].load += 1;
+        let chosen = choose(&servers, &request)?;
+        self.servers[chosen].in_flight[router] += 1;
+        self.servers[chosen].load += 1;
         Some(chosen)
     }
 
     fn report(&mut self) {
-        for node in self.nodes.iter_mut().filter(|n| !n.is_frozen) {
-            node.reported = node.load;
-            node.at_report.clone_from(&node.own);
+        for server in self.servers.iter_mut().filter(|s| !s.is_frozen) {
+            server.reported = server.load;
+            server.at_report.clone_from(&server.in_flight);
         }
     }
 
     fn loads(&self) -> String {
-        let all: Vec<String> = self.nodes.iter().map(|n| n.load.to_string()).collect();
+        let all: Vec<String> = self.servers.iter().map(|s| s.load.to_string()).collect();
         format!("{}\n", all.join(" "))
     }
 }
@@ -85,8 +90,8 @@
 #[test]
 fn server_choice() {
     datadriven::walk("tests/scenarios", |file| {
-        let mut world = World {
-            nodes: Vec::new(),
+        let mut simulation = Simulation {
+            servers: Vec::new(),
             routers: 1,
             now: Millis(1),
             rule: Rule::Combined,
@@ -99,66 +104,69 @@
             };
             match case.directive.as_str() {
                 "servers" => {
-                    world.routers = number("routers", 1) as usize;
-                    world.now = Millis(1);
+                    simulation.routers = number("routers", 1) as usize;
+                    simulation.now = Millis(1);
                     let (near, far) = (number("near", 4), number("far", 0));
-                    let node = |i: u64| Node {
+                    let server = |i: u64| ServerModel {
                         name: format!("engine-{i}"),
                         rank: usize::from(i >= near),
                         slots: number("slots", 8),
-                        own: vec![0; world.routers],
-                        at_report: vec![0; world.routers],
-                        ..Node::default()
+                        in_flight: vec![0; simulation.routers],
+                        at_report: vec![0; simulation.routers],
+                        ..ServerModel::default()
                     };
-                    world.nodes = (0..near + far).map(node).collect();
+                    simulation.servers = (0..near + far).map(server).collect();
                     String::new()
                 }
                 "set" => {
-                    let node = &mut world.nodes[number("server", 0) as usize];
-                    node.load = number("load", node.load);
-                    node.cached = number("cached", node.cached);
-                    node.age = Millis(number("age", node.age.0));
-                    node.is_frozen |= case.args.contains_key("frozen");
-                    let now = world.now;
+                    let server = &mut simulation.servers[number("server", 0) as usize];
+                    server.load = number("load", server.load);
+                    server.cached = number("cached", server.cached);
+                    server.age = Millis(number("age", server.age.0));
+                    server.is_frozen |= case.args.contains_key("frozen");
+                    let now = simulation.now;
                     for _ in 0..number("fails", 0) {
-                        node.health.failed(now);
+                        server.health.record_failure(now);
                     }
                     if number("first", 0) > 0 {
-                        node.health.first_token(now, Millis(number("first", 0)));
+                        server
+                            .health
+                            .record_first_token(now, Millis(number("first", 0)));
                     }
                     if case.args.contains_key("returns") {
-                        node.health.came_back(now);
+                        server.health.record_return(now);
                     }
                     String::new()
                 }
                 "pass" => {
-                    world.now = world.now + Millis(number("ms", 0));
+                    simulation.now = simulation.now + Millis(number("ms", 0));
                     String::new()
                 }
                 "report" => {
-                    world.report();
+                    simulation.report();
                     String::new()
                 }
                 "place" => {
-                    let ask = Ask {
+                    let request = ChoiceRequest {
                         blocks: number("blocks", 0),
-                        resumes: case
+                        max_resumes: case
                             .args
                             .contains_key("resumes")
                             .then(|| number("resumes", 0)),
-                        ..Ask::default()
+                        ..ChoiceRequest::default()
                     };
                     let every = number("report", u64::MAX);
                     for i in 0..number("count", 1) {
                         if i % every == every - 1 {
-                            world.report();
+                            simulation.report();
                         }
-                        let router = i as usize % world.routers;
+                        let router = i as usize % simulation.routers;
                         let prefixes = number("prefixes", 0);
-                        let prefix = (prefixes > 0).then(|| i / world.routers as u64 % prefixes);
-                        world.place(router, prefix, &ask);
+                        let prefix =
+                            (prefixes > 0).then(|| i / simulation.routers as u64 % prefixes);
+                        simulation.place(router, prefix, &request);
                     }
-                    world.loads()
+                    simulation.loads()
                 }
                 other => panic!("unknown directive {other}"),
             }
@@ -177,15 +185,15 @@
     /// However old the reports, no server gets far more than the others.
     #[test]
     fn no_herd(routers in 1_usize..300, lag in 1_u64..64, servers in 4_usize..30) {
-        let node = |i: usize| Node {
+        let server = |i: usize| ServerModel {
             name: format!("engine-{i}"),
             slots: 1_000,
-            own: vec![0; routers],
+            in_flight: vec![0; routers],
             at_report: vec![0; routers],
-            ..Node::default()
+            ..ServerModel::default()
         };
-        let mut world = World {
-            nodes: (0..servers).map(node).collect(),
+        let mut simulation = Simulation {
+            servers: (0..servers).map(server).collect(),
             routers,
             now: Millis(1),
             rule: Rule::Combined,
@@ -194,11 +202,11 @@
         let count = servers as u64 * 40;
         for i in 0..count {
             if i % lag == 0 {
-                world.report();
+                simulation.report();
             }
-            world.place(i as usize % routers, None, &Ask::default());
+            simulation.place(i as usize % routers, None, &ChoiceRequest::default());
         }
-        let most = world.nodes.iter().map(|n| n.load).max().unwrap_or(0);
+        let most = simulation.servers.iter().map(|s| s.load).max().unwrap_or(0);
         prop_assert!(most <= 40 * 2, "most {most}");
     }
 
@@ -206,7 +214,7 @@
     #[test]
     fn always_usable(
         flags in proptest::collection::vec((any::<bool>(), any::<bool>(), 0_u64..1_001, 0_u64..9), 0..12),
-        spread in any::<u64>(),
+        seed in any::<u64>(),
         prefix in proptest::option::of(any::<u64>()),
     ) {
         let servers: Vec<Server<'_>> = flags
@@ -215,15 +223,15 @@
                 backend: "engine",
                 is_usable: *is_usable,
                 is_ejected: *is_ejected,
-                ramp: *ramp,
-                reported: *load,
+                ramp_permille: *ramp,
+                reported_load: *load,
                 slots: 4,
-                latency: load * 100,
+                latency_ms: load * 100,
                 ..Server::default()
             })
             .collect();
-        let ask = Ask { spread, prefix, blocks: 8, resumes: Some(0), ..Ask::default() };
-        match choose(&servers, &ask) {
+        let request = ChoiceRequest { seed, prefix, blocks: 8, max_resumes: Some(0), ..ChoiceRequest::default() };
+        match choose(&servers, &request) {
             Some(i) => prop_assert!(servers[i].is_usable),
             None => prop_assert!(servers.iter().all(|s| !s.is_usable)),
         }
--- a/crates/gooseberry-gateway/src/calls.rs
+++ b/crates/gooseberry-gateway/src/calls.rs
@@ -8,7 +8,7 @@
 use http_body_util::{BodyExt, Limited};
 use hyper::Response;
 use platform::answer::{self, Head};
-use relay::{Next, Outcome, Tries};
+use relay::{Action, Outcome, SendHistory};
 
 use crate::context::Context;
 use crate::fleet::{Lease, Want};
@@ -35,7 +35,7 @@
 
 /// Runs a call and answers its caller.
 pub async fn run(ctx: &Arc<Context>, job: &Job) -> Response<Body> {
-    let mut tries = Tries::default();
+    let mut tries = SendHistory::default();
     let mut avoid: Vec<BackendId> = Vec::new();
     loop {
         let want = Want {
@@ -48,7 +48,7 @@
             ..Want::default()
         };
         let Some(lease) = ctx.servers.place(ctx.now(), &want) else {
-            return job.end(ctx, tries.give_up(), "no_server", &UNANSWERED);
+            return job.end(ctx, tries.abandon(), "no_server", &UNANSWERED);
         };
         let left = job.left(ctx.now()).duration();
         let sent = tokio::time::timeout(left, exchange(ctx, job, &lease)).await;
@@ -57,8 +57,8 @@
             Ok(Ok(answer)) => (Outcome::Answered, Some(answer)),
             Ok(Err(outcome)) => (outcome, None),
             Err(_) => {
-                ctx.metrics.sent(Outcome::Silent.into());
-                return job.end(ctx, Next::Unknown, "timeout", &UNANSWERED);
+                ctx.metrics.sent(Outcome::TimedOut.into());
+                return job.end(ctx, Action::ReportUnknown, "timeout", &UNANSWERED);
             }
         };
         let server = lease.id.clone();
@@ -66,12 +66,12 @@
         let next = job.after(ctx, &mut tries, outcome).await;
         tracing::debug!(id = %job.call.id, %server, %outcome, %next, "call");
         match (next, answer) {
-            (Next::Deliver, Some(answer)) => return deliver(ctx, job, answer, &server),
-            (Next::Resend, _) => avoid.push(server),
+            (Action::Deliver, Some(answer)) => return deliver(ctx, job, answer, &server),
+            (Action::Resend, _) => avoid.push(server),
             (next, _) => return job.end(ctx, next, outcome.into(), &UNANSWERED),
         }
         if outcome == Outcome::NotRun && !job.pause(ctx, &tries).await {
-            return job.end(ctx, tries.give_up(), outcome.into(), &UNANSWERED);
+            return job.end(ctx, tries.abandon(), outcome.into(), &UNANSWERED);
         }
     }
 }
--- a/crates/gooseberry-gateway/src/context.rs
+++ b/crates/gooseberry-gateway/src/context.rs
@@ -7,7 +7,7 @@
 use base::prelude::*;
 use base::sorted::Sorted;
 use membership::gossip::Gossip;
-use relay::{Budget, Tries};
+use relay::{Budget, SendHistory};
 use routing::Snapshot;
 use timer::Timer;
 use tokio::sync::Notify;
@@ -91,14 +91,14 @@
     /// Notes a request, which earns its service a part of a repeat.
     pub fn earn(&self, job: &Job) {
         let now = self.now();
-        self.budget(job, |b| b.request(now));
+        self.budget(job, |b| b.record_request(now));
     }
 
     /// Takes one repeat out of the budget of the request's service; waits for one if there is none left
     /// and the caller has time. Returns whether there was one.
     pub async fn repeat(&self, job: &Job) -> bool {
         let since = self.now();
-        let limit = Tries::repeat_wait(since.since(job.since), job.until.since(job.since));
+        let limit = SendHistory::retry_wait(since.since(job.since), job.until.since(job.since));
         let mut waiting = None;
         loop {
             let now = self.now();
@@ -126,7 +126,7 @@
 
     /// Takes one repeat out of the budget of the request's service, if there is one left.
     fn spend(&self, job: &Job, now: Millis) -> bool {
-        let (is_left, is_urgent) = self.budget(job, |b| (b.spend(now), b.is_urgent(now)));
+        let (is_left, is_urgent) = self.budget(job, |b| (b.try_spend(now), b.is_exchange_due(now)));
         if is_urgent {
             self.wake_gossip.notify_one();
         }
@@ -135,7 +135,7 @@
 
     fn refused(&self, job: &Job, now: Millis, waited: Millis) {
         let (own, others) =
-            self.budget(job, |b| ((b.requests(now)[0], b.repeats(now)), *b.others()));
+            self.budget(job, |b| ((b.requests(now)[0], b.retries(now)), *b.others()));
         tracing::info!(
             id = %job.call.id, service = %job.plan.service, waited_ms = waited.0, requests = own.0,
             repeats = own.1, hosts = others.heard, known = others.known, all_requests = others.requests[0] + own.0,
@@ -185,14 +185,14 @@
 
 impl<'a> Waiting<'a> {
     fn new(ctx: &'a Context, job: &'a Job) -> Self {
-        ctx.budget(job, Budget::wait);
+        ctx.budget(job, Budget::begin_wait);
         Self { ctx, job }
     }
 }
 
 impl Drop for Waiting<'_> {
     fn drop(&mut self) {
-        self.ctx.budget(self.job, Budget::waited);
+        self.ctx.budget(self.job, Budget::end_wait);
     }
 }
 
--- a/crates/gooseberry-gateway/src/copies.rs
+++ b/crates/gooseberry-gateway/src/copies.rs
@@ -152,7 +152,7 @@
     let want = Want {
         service: job.plan.service.as_str(),
         load: Load {
-            copies: memory.needed,
+            backups: memory.needed,
             ..Load::default()
         },
         capacity: memory.capacity,
--- a/crates/gooseberry-gateway/src/fleet.rs
+++ b/crates/gooseberry-gateway/src/fleet.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use balance::Health;
-use balance::place::{Candidate, Load, Need, Wish, place, shortlist};
+use balance::place::{Candidate, Load, Need, PlaceRequest, place, shortlist};
 use base::hash::short;
 use base::prelude::*;
 use base::sorted::Sorted;
@@ -136,7 +136,7 @@
         if let Some(server) = self.lock().servers.get_mut(id) {
             server.heard = now;
             server.doubted = Millis(0);
-            server.health.answered();
+            server.health.record_answer();
         }
     }
 
@@ -149,7 +149,7 @@
     /// A server is not reachable or fell silent.
     pub fn lost(&self, id: &BackendId, now: Millis) {
         if let Some(server) = self.lock().servers.get_mut(id) {
-            server.health.lost(now);
+            server.health.record_unreachable(now);
             server.lost = Some(now);
             server.idle.clear();
         }
@@ -274,7 +274,7 @@
         &self,
         now: Millis,
         want: &Want<'_>,
-        pick: impl Fn(&[Candidate<'_>], &Wish<'_>) -> Vec<usize>,
+        pick: impl Fn(&[Candidate<'_>], &PlaceRequest<'_>) -> Vec<usize>,
     ) -> Vec<BackendId> {
         let members: Vec<(&BackendId, &Entry)> = self
             .roster
@@ -287,13 +287,13 @@
             .map(|(id, entry)| self.candidate(now, id, entry, want.capacity))
             .collect();
         let avoid: Vec<&str> = want.avoid.iter().map(BackendId::as_str).collect();
-        let wish = Wish {
-            memory: want.load.memory + want.load.copies,
+        let wish = PlaceRequest {
+            memory: want.load.memory + want.load.backups,
             avoid: &avoid,
             avoid_centre: want.avoid_centre,
             prefer_centre: want.prefer_centre,
-            spread: rand::random(),
-            content: want.content,
+            seed: rand::random(),
+            prompt_hash: want.content,
         };
         let chosen = pick(&candidates, &wish);
         chosen.into_iter().map(|i| members[i].0.clone()).collect()
@@ -309,9 +309,9 @@
         let server = self.servers.get(id);
         Candidate {
             server: id.as_str(),
-            centre: entry.centre.as_str(),
+            data_centre: entry.centre.as_str(),
             is_ejected: server.is_some_and(|s| s.health.is_ejected(now)),
-            is_doubtful: server.is_some_and(|s| now < s.doubted),
+            is_suspected: server.is_some_and(|s| now < s.doubted),
             load: server.map_or(Load::default(), |s| s.load),
             capacity,
         }
@@ -371,7 +371,7 @@
     Load {
         prefill: a.prefill + b.prefill,
         memory: a.memory + b.memory,
-        copies: a.copies + b.copies,
+        backups: a.backups + b.backups,
         running: a.running + b.running,
     }
 }
@@ -380,7 +380,7 @@
     Load {
         prefill: a.prefill.saturating_sub(b.prefill),
         memory: a.memory.saturating_sub(b.memory),
-        copies: a.copies.saturating_sub(b.copies),
+        backups: a.backups.saturating_sub(b.backups),
         running: a.running.saturating_sub(b.running),
     }
 }
--- a/crates/gooseberry-gateway/src/gossip.rs
+++ b/crates/gooseberry-gateway/src/gossip.rs
@@ -74,11 +74,11 @@
 fn usage(ctx: &Context, now: Millis) -> Vec<Usage> {
     let mut usage = Vec::new();
     for (name, budget) in ctx.budgets().iter_mut() {
-        budget.told();
+        budget.begin_exchange();
         usage.push(Usage {
             service: short(name.as_str()),
             requests: budget.requests(now).map(saturated),
-            repeats: saturated(budget.repeats(now)),
+            repeats: saturated(budget.retries(now)),
             waiting: u32::from(budget.waiting() > 0),
         });
     }
@@ -94,7 +94,7 @@
     let gossip = ctx.gossip();
     for (name, budget) in ctx.budgets().iter_mut() {
         if let Some(shared) = gossip.shared(now, short(name.as_str())) {
-            budget.exchanged(shared);
+            budget.finish_exchange(shared);
         }
     }
 }
--- a/crates/gooseberry-gateway/src/probe.rs
+++ b/crates/gooseberry-gateway/src/probe.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use balance::place::{LoadReport, best};
+use balance::place::{LoadReport, best_report};
 use base::prelude::*;
 use bytes::Bytes;
 use futures_util::future::join_all;
@@ -38,7 +38,7 @@
             break;
         }
     }
-    let chosen = best(&told, &need)?;
+    let chosen = best_report(&told, &need)?;
     tracing::debug!(server = %ids[chosen], ?told, "engines asked");
     let lease = ctx.servers.take(ctx.now(), &ids[chosen], want.load);
     lease.or_else(|| ctx.servers.place(ctx.now(), want))
--- a/crates/gooseberry-gateway/src/send.rs
+++ b/crates/gooseberry-gateway/src/send.rs
@@ -12,7 +12,7 @@
 use hyper::{Method, Request, Response, StatusCode, Uri};
 use platform::answer::{self, Head};
 use platform::request::{self, Copy, Send};
-use relay::{Next, Outcome, Tries};
+use relay::{Action, Outcome, SendHistory};
 use routing::{Call, Plan};
 
 use crate::context::{Context, InFlight};
@@ -76,19 +76,19 @@
     }
 
     /// What is to be done after a send that ended with `outcome`; waits for a repeat if one is needed.
-    pub async fn after(&self, ctx: &Context, tries: &mut Tries, outcome: Outcome) -> Next {
+    pub async fn after(&self, ctx: &Context, tries: &mut SendHistory, outcome: Outcome) -> Action {
         let route = &self.plan.route;
-        match tries.next(outcome, route.kind, route.attempts) {
-            Next::Repeat if ctx.repeat(self).await => Next::Resend,
-            Next::Repeat => tries.unrepeated(outcome),
+        match tries.record(outcome, route.kind, route.attempts) {
+            Action::Retry if ctx.repeat(self).await => Action::Resend,
+            Action::Retry => tries.without_retry(outcome),
             next => next,
         }
     }
 
     /// Waits before the request is sent again after a rejection; returns whether there is time.
-    pub async fn pause(&self, ctx: &Context, tries: &Tries) -> bool {
+    pub async fn pause(&self, ctx: &Context, tries: &SendHistory) -> bool {
         let age = ctx.now().since(self.since);
-        match tries.pause(age, self.until.since(self.since)) {
+        match tries.backoff(age, self.until.since(self.since)) {
             Some(pause) => {
                 ctx.timer.after(pause).await;
                 true
@@ -235,12 +235,12 @@
     pub fn end(
         &self,
         ctx: &Context,
-        next: Next,
+        next: Action,
         cause: &'static str,
         told: &Unanswered,
     ) -> Response<Body> {
         let response = match next {
-            Next::Refuse => reply::refused("no_capacity", told.refused, told.after_ms),
+            Action::Refuse => reply::refused("no_capacity", told.refused, told.after_ms),
             _ if cause == "timeout" => {
                 reply::unknown(StatusCode::GATEWAY_TIMEOUT, "timeout", told.timeout)
             }
--- a/crates/gooseberry-gateway/src/streams.rs
+++ b/crates/gooseberry-gateway/src/streams.rs
@@ -12,7 +12,7 @@
 use hyper::header::HeaderMap;
 use hyper::{Response, StatusCode};
 use platform::answer::{self, Head};
-use relay::{Event, Next, Outcome, Progress, Splitter, Step, Tries};
+use relay::{Action, Event, EventAction, Outcome, Progress, SendHistory, Splitter};
 use routing::Kind;
 
 use crate::context::Context;
@@ -58,7 +58,7 @@
     ctx: Arc<Context>,
     job: Arc<Job>,
     memory: Memory,
-    tries: Tries,
+    tries: SendHistory,
     avoid: Vec<BackendId>,
     progress: Progress,
     run: Option<Run>,
@@ -83,17 +83,17 @@
         let outcome = match flow.begin().await {
             Ok(headers) => return flow.answer(headers),
             Err(Some(outcome)) => outcome,
-            Err(None) => return flow.end(flow.tries.give_up(), "no_server"),
+            Err(None) => return flow.end(flow.tries.abandon(), "no_server"),
         };
-        if outcome == Outcome::Silent && flow.job.left(flow.ctx.now()) == Millis(0) {
-            return flow.end(Next::Unknown, "timeout");
+        if outcome == Outcome::TimedOut && flow.job.left(flow.ctx.now()) == Millis(0) {
+            return flow.end(Action::ReportUnknown, "timeout");
         }
         match flow.next(outcome).await {
-            Next::Resend => {}
+            Action::Resend => {}
             next => return flow.end(next, outcome.into()),
         }
         if outcome == Outcome::NotRun && !flow.job.pause(&flow.ctx, &flow.tries).await {
-            return flow.end(flow.tries.give_up(), outcome.into());
+            return flow.end(flow.tries.abandon(), outcome.into());
         }
     }
 }
@@ -110,7 +110,7 @@
             memory: memory(&ctx, &job),
             ctx,
             job,
-            tries: Tries::default(),
+            tries: SendHistory::default(),
             avoid: Vec::new(),
             progress,
             run: None,
@@ -120,7 +120,7 @@
     }
 
     /// What is to be done after a send that failed.
-    async fn next(&mut self, outcome: Outcome) -> Next {
+    async fn next(&mut self, outcome: Outcome) -> Action {
         self.job.after(&self.ctx, &mut self.tries, outcome).await
     }
 
@@ -139,9 +139,9 @@
                 .ok_or(Some(Outcome::Unsent))?,
             None => self.place().await.ok_or(None)?,
         };
-        let holder = self.holder(&lease, self.progress.passed() > 0).await;
+        let holder = self.holder(&lease, self.progress.forwarded() > 0).await;
         let extra = Extra {
-            last_event: self.progress.last(),
+            last_event: self.progress.last_id(),
             copy_to: holder.as_ref().map(|h| h.addr),
             copy: spare.as_ref().map(|h| &h.copy),
         };
@@ -156,8 +156,8 @@
         let result = tokio::select! {
             biased;
             result = first_event(&ctx, &job, &lease, &extra) => result,
-            () = liveness::gone(&ctx, &id) => Err(Outcome::Silent),
-            () = tokio::time::sleep(left) => Err(Outcome::Silent),
+            () = liveness::gone(&ctx, &id) => Err(Outcome::TimedOut),
+            () = tokio::time::sleep(left) => Err(Outcome::TimedOut),
         };
         let (opened, splitter, event) = match result {
             Ok(parts) => parts,
@@ -210,10 +210,10 @@
     async fn pull(&mut self) -> Result<Option<Bytes>, Cut> {
         loop {
             match self.event().await {
-                Ok(event) => match self.progress.event(self.ctx.now(), &event) {
-                    Step::Pass => return Ok(Some(event.bytes)),
-                    Step::Drop => {}
-                    Step::Gap => self.resume(Outcome::Broken).await?,
+                Ok(event) => match self.progress.record(self.ctx.now(), &event) {
+                    EventAction::Forward => return Ok(Some(event.bytes)),
+                    EventAction::Drop => {}
+                    EventAction::Gap => self.resume(Outcome::Broken).await?,
                 },
                 Err(End::Whole) => {
                     self.finish();
@@ -232,7 +232,7 @@
         let Some(run) = &mut self.run else {
             return Err(End::Lost(Outcome::Broken));
         };
-        let until = self.progress.suspect_at().min(self.job.until);
+        let until = self.progress.stall_deadline().min(self.job.until);
         tokio::select! {
             biased;
             event = next_event(&mut run.body, &mut run.splitter) => match event {
@@ -243,9 +243,9 @@
                 Ok(None) => Err(End::Whole),
                 Err(outcome) => Err(End::Lost(outcome)),
             },
-            () = self.ctx.timer.at(until) => Err(End::Lost(Outcome::Silent)),
-            () = silent(&self.ctx, &run.lease.id, self.progress.heard()) => {
-                Err(End::Lost(Outcome::Silent))
+            () = self.ctx.timer.at(until) => Err(End::Lost(Outcome::TimedOut)),
+            () = silent(&self.ctx, &run.lease.id, self.progress.idle_since()) => {
+                Err(End::Lost(Outcome::TimedOut))
             }
         }
     }
@@ -256,13 +256,13 @@
             // The caller's time is over, which says nothing of the server.
             return Err(self.cut("timeout"));
         }
-        let heard = self.progress.heard();
+        let heard = self.progress.idle_since();
         self.leave(outcome);
         loop {
             if self.job.left(self.ctx.now()) == Millis(0) {
                 return Err(self.cut("timeout"));
             }
-            if self.next(outcome).await != Next::Resend {
+            if self.next(outcome).await != Action::Resend {
                 return Err(self.cut(outcome.into()));
             }
             let source = if self.spare.is_some() {
@@ -274,7 +274,7 @@
                 Ok(_) => {
                     let now = self.ctx.now();
                     self.resumed(source, now.since(heard));
-                    self.progress.reopened(now);
+                    self.progress.reset_idle_timer(now);
                     return Ok(());
                 }
                 Err(Some(failed)) => outcome = failed,
@@ -295,8 +295,8 @@
         let now = self.ctx.now();
         liveness::lost(&self.ctx, &run.lease.id);
         tracing::info!(
-            id = %self.job.call.id, server = %run.lease.id, %outcome, last = ?self.progress.last(),
-            silence_ms = now.since(self.progress.heard()).0, "run lost"
+            id = %self.job.call.id, server = %run.lease.id, %outcome, last = ?self.progress.last_id(),
+            silence_ms = now.since(self.progress.idle_since()).0, "run lost"
         );
         self.avoid.push(run.lease.id.clone());
         self.spare = run.keeper.and_then(Keeper::take);
@@ -306,7 +306,7 @@
         let server = self.run.as_ref().map_or("", |r| r.lease.id.as_str());
         tracing::info!(
             id = %self.job.call.id, server, source = cause, silence_ms = silence.0,
-            last = ?self.progress.last(), "stream resumed"
+            last = ?self.progress.last_id(), "stream resumed"
         );
         let metrics = &self.ctx.metrics;
         metrics.resumes.get_or_create(&Cause { cause }).inc();
@@ -339,7 +339,7 @@
     }
 
     /// Answers a caller who got no event.
-    fn end(&self, next: Next, cause: &'static str) -> Response<Body> {
+    fn end(&self, next: Action, cause: &'static str) -> Response<Body> {
         self.job.end(&self.ctx, next, cause, &UNANSWERED)
     }
 
@@ -378,7 +378,7 @@
         Load {
             prefill: if reads_prompt { self.memory.prompt } else { 0 },
             memory: self.memory.needed,
-            copies: 0,
+            backups: 0,
             running: 1,
         }
     }
--- a/crates/gooseberry-router/src/admit/bounds.rs
+++ b/crates/gooseberry-router/src/admit/bounds.rs
@@ -63,7 +63,7 @@
 fn first(router: &Router, snapshot: &Snapshot, profile: &Profile) -> Millis {
     let now = router.timer.now();
     let mut times: Vec<u64> = servers(snapshot, profile)
-        .map(|b| b.health().bound(now))
+        .map(|b| b.health().latency_bound(now))
         .filter(|ms| *ms > 0)
         .collect();
     times.sort_unstable();
--- a/crates/gooseberry-router/src/backends.rs
+++ b/crates/gooseberry-router/src/backends.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-use balance::{Ask, Health, Server, choose};
+use balance::{ChoiceRequest, Health, Server, choose};
 use base::prelude::*;
 use generation::policy::Mode;
 use peer::agent::BackendView;
@@ -49,7 +49,7 @@
             None => !held.is_empty(),
         };
         if is_back && seen.alive {
-            outcome.change(|h| h.came_back(now));
+            outcome.change(|h| h.record_return(now));
         }
         let mut past = old.map(|b| b.past.clone()).unwrap_or_default();
         // Views come for each change of any server; keeping a count of each would reach back less far
@@ -119,15 +119,15 @@
             backend: self.seen.backend.as_str(),
             is_usable: want.model.is_none_or(|m| self.seen.models.contains(m)),
             rank: rank(&self.seen.data_centre, near, &want.profile.spill),
-            own: self.own(),
-            since: self.since(now),
-            reported: self.seen.running + self.seen.queued,
-            age: self.age(now),
+            in_flight: self.own(),
+            since_report: self.since(now),
+            reported_load: self.seen.running + self.seen.queued,
+            report_age: self.age(now),
             slots: self.seen.slots,
-            cached: held_blocks(&self.seen.blocks, want.blocks),
+            cached_blocks: held_blocks(&self.seen.blocks, want.blocks),
             is_ejected: health.is_ejected(now),
-            ramp: health.ramp(now),
-            latency: health.latency(now),
+            ramp_permille: health.ramp_permille(now),
+            latency_ms: health.latency(now),
             resumes: self.outcome.resumes(),
         }
     }
@@ -166,13 +166,15 @@
         self.has_token = true;
         self.end_resume();
         let took = now.since(self.at);
-        self.backend.outcome.change(|h| h.first_token(now, took));
+        self.backend
+            .outcome
+            .change(|h| h.record_first_token(now, took));
     }
 
     /// The request failed there; only failures before the first token tell of the server.
     pub fn failed(&mut self, now: Millis) {
         if !self.has_token {
-            self.backend.outcome.change(|h| h.failed(now));
+            self.backend.outcome.change(|h| h.record_failure(now));
         }
     }
 
@@ -240,15 +242,15 @@
     }
     let routers = snapshot.hosts.iter().filter(|h| h.alive).count() as u64;
     let prefix = PREFIX_BLOCKS.min(want.blocks.len()).checked_sub(1);
-    let ask = Ask {
+    let ask = ChoiceRequest {
         avoid: &avoid,
-        spread: rand::random(),
+        seed: rand::random(),
         routers,
         prefix: prefix.map(|i| want.blocks[i]),
         blocks: want.blocks.len() as u64,
-        resumes: want.is_resume.then_some(want.profile.resume.resumes),
+        max_resumes: want.is_resume.then_some(want.profile.resume.resumes),
         rule: want.profile.choice,
-        turn: router.turn.fetch_add(1, Ordering::Relaxed),
+        sequence: router.turn.fetch_add(1, Ordering::Relaxed),
     };
     match choose(&servers, &ask) {
         Some(i) => Ok(Placed::new(live[i].clone(), now, want.is_resume)),
@@ -260,17 +262,20 @@
 /// Leaves only the servers that hold most of the prompt, if one with room holds any of it.
 fn keep_cached(servers: &mut [Server<'_>], avoid: &[BackendId]) {
     let has_room = |s: &Server<'_>| {
-        let load = s.own.max(s.reported);
+        let load = s.in_flight.max(s.reported_load);
         let is_avoided = avoid.iter().any(|b| b.as_str() == s.backend);
         s.is_usable && !is_avoided && (s.slots == 0 || load < s.slots)
     };
-    let best = servers.iter().filter(|s| has_room(s)).map(|s| s.cached);
+    let best = servers
+        .iter()
+        .filter(|s| has_room(s))
+        .map(|s| s.cached_blocks);
     let best = best.max().unwrap_or(0);
     if best == 0 {
         return;
     }
     for server in servers {
-        server.is_usable = has_room(server) && server.cached == best;
+        server.is_usable = has_room(server) && server.cached_blocks == best;
     }
 }
 
--- a/crates/relay/src/budget.rs
+++ b/crates/relay/src/budget.rs
@@ -11,14 +11,14 @@
 use membership::gossip::{Shared, WINDOWS};
 
 /// The parts into which a window is divided for counting.
-const PARTS: u64 = 10;
+const BUCKETS: u64 = 10;
 
 /// The sums of one part of a window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct Part {
-    number: u64,
+struct Bucket {
+    index: u64,
     requests: u64,
-    repeats: u64,
+    retries: u64,
 }
 
 /// Repeats allowed within a sliding window.
@@ -29,12 +29,12 @@
     permille: u64,
     /// The repeats allowed besides to all hosts together, in each window.
     extra: u64,
-    parts: Vec<Part>,
+    buckets: Vec<Bucket>,
     others: Shared,
     /// The repeats of this host that the last exchange does not contain.
-    spent: u64,
+    unconfirmed: u64,
     /// The repeats of this host since it last told of its use.
-    untold: u64,
+    unreported: u64,
     /// The requests of this host that wait for a repeat.
     waiting: u64,
 }
@@ -44,85 +44,85 @@
     /// `hosts` hosts of which nothing was heard yet.
     pub fn new(window: Millis, permille: u64, extra: u64, hosts: u64) -> Self {
         Self {
-            window: window.max(Millis(PARTS)),
+            window: window.max(Millis(BUCKETS)),
             permille,
             extra,
-            parts: Vec::new(),
+            buckets: Vec::new(),
             others: Shared {
                 heard: 1,
                 known: hosts.max(1),
                 ..Shared::default()
             },
-            spent: 0,
-            untold: 0,
+            unconfirmed: 0,
+            unreported: 0,
             waiting: 0,
         }
     }
 
     /// Notes a request.
-    pub fn request(&mut self, now: Millis) {
-        self.part(now).requests += 1;
+    pub fn record_request(&mut self, now: Millis) {
+        self.bucket(now).requests += 1;
     }
 
     /// Takes one repeat, if there is one left.
-    pub fn spend(&mut self, now: Millis) -> bool {
-        if self.left(now) == 0 {
+    pub fn try_spend(&mut self, now: Millis) -> bool {
+        if self.remaining(now) == 0 {
             return false;
         }
-        self.part(now).repeats += 1;
-        self.spent += 1;
-        self.untold += 1;
+        self.bucket(now).retries += 1;
+        self.unconfirmed += 1;
+        self.unreported += 1;
         true
     }
 
     /// The repeats that this host may still send now.
-    pub fn left(&self, now: Millis) -> u64 {
+    pub fn remaining(&self, now: Millis) -> u64 {
         let others = &self.others;
-        let (allowed, used) = self.pool(now);
+        let (allowed, used) = self.totals(now);
         let pool = allowed.saturating_sub(used);
         // The pool is already less by what was spent since the exchange.
-        let before = pool + self.spent;
-        let share = before / others.heard + self.rest(before % others.heard);
-        pool.min(share.saturating_sub(self.spent))
+        let before = pool + self.unconfirmed;
+        let share = before / others.heard + self.remainder_share(before % others.heard);
+        pool.min(share.saturating_sub(self.unconfirmed))
     }
 
     /// The repeats that all hosts together may send within the window, and those that were sent.
-    fn pool(&self, now: Millis) -> (u64, u64) {
+    fn totals(&self, now: Millis) -> (u64, u64) {
         let others = &self.others;
         // Alone, hosts would each take the window that was best for themselves.
-        let is_alone = others.heard == 1 && others.known > 1;
-        let windows = if is_alone { 1 } else { WINDOWS };
+        let is_isolated = others.heard == 1 && others.known > 1;
+        let windows = if is_isolated { 1 } else { WINDOWS };
         let requests = self.requests(now).into_iter().zip(others.requests);
         let sums = requests.map(|(own, other)| own + other);
         let most = sums.take(windows).max().unwrap_or(0);
         let earned = most * self.permille / 1_000;
         let fixed = self.extra * others.heard / others.known;
-        (earned + fixed, self.repeats(now) + others.repeats)
+        (earned + fixed, self.retries(now) + others.repeats)
     }
 
     /// Whether the others are to be told of this host's use before the next regular exchange: half of its
     /// share, or half of what all may send, is used.
-    pub fn is_urgent(&self, now: Millis) -> bool {
-        let (allowed, used) = self.pool(now);
-        self.left(now) <= self.spent || 2 * used > allowed
+    pub fn is_exchange_due(&self, now: Millis) -> bool {
+        let (allowed, used) = self.totals(now);
+        self.remaining(now) <= self.unconfirmed || 2 * used > allowed
     }
 
     /// This host's part of a rest that is smaller than the number of hosts.
-    fn rest(&self, rest: u64) -> u64 {
+    fn remainder_share(&self, remainder: u64) -> u64 {
         let Some(rank) = self.others.rank else {
             return 0;
         };
         let waiting = self.others.waiting.max(rank + 1);
-        rest / waiting + u64::from(rank < rest % waiting)
+        remainder / waiting + u64::from(rank < remainder % waiting)
     }
 
     /// Notes that a request waits for a repeat.
-    pub fn wait(&mut self) {
+    pub fn begin_wait(&mut self) {
         self.waiting += 1;
     }
 
     /// Notes that a request waits no more.
-    pub fn waited(&mut self) {
+    pub fn end_wait(&mut self) {
         self.waiting = self.waiting.saturating_sub(1);
     }
 
@@ -138,53 +138,53 @@
 
     /// The requests of this host in each of the windows.
     pub fn requests(&self, now: Millis) -> [u64; WINDOWS] {
-        let end = self.number(now) + 1;
-        [0, PARTS / 2, PARTS].map(|before| {
-            let parts = self.window(end.saturating_sub(before));
-            parts.map(|p| p.requests).sum()
+        let end = self.bucket_index(now) + 1;
+        [0, BUCKETS / 2, BUCKETS].map(|before| {
+            let buckets = self.window(end.saturating_sub(before));
+            buckets.map(|b| b.requests).sum()
         })
     }
 
     /// The repeats of this host within the window.
-    pub fn repeats(&self, now: Millis) -> u64 {
-        let parts = self.window(self.number(now) + 1);
-        parts.map(|p| p.repeats).sum()
+    pub fn retries(&self, now: Millis) -> u64 {
+        let buckets = self.window(self.bucket_index(now) + 1);
+        buckets.map(|b| b.retries).sum()
     }
 
     /// The parts of the window that ends before the part `end`.
-    fn window(&self, end: u64) -> impl Iterator<Item = &Part> {
-        let numbers = end.saturating_sub(PARTS)..end;
-        self.parts
+    fn window(&self, end: u64) -> impl Iterator<Item = &Bucket> {
+        let range = end.saturating_sub(BUCKETS)..end;
+        self.buckets
             .iter()
-            .filter(move |p| numbers.contains(&p.number))
+            .filter(move |b| range.contains(&b.index))
     }
 
-    /// This host's use is told to the others; [`Budget::exchanged`] follows when they have answered.
-    pub fn told(&mut self) {
-        self.untold = 0;
+    /// This host's use is told to the others; [`Budget::finish_exchange`] follows when they have answered.
+    pub fn begin_exchange(&mut self) {
+        self.unreported = 0;
     }
 
     /// Takes in what the others have used, as the answer to what this host told last.
-    pub fn exchanged(&mut self, others: Shared) {
+    pub fn finish_exchange(&mut self, others: Shared) {
         self.others = others;
-        self.spent = self.untold;
+        self.unconfirmed = self.unreported;
     }
 
-    fn part(&mut self, now: Millis) -> &mut Part {
-        let number = self.number(now);
-        let first = (number + 1).saturating_sub(2 * PARTS);
-        self.parts.retain(|p| p.number >= first);
-        if self.parts.last().is_none_or(|p| p.number != number) {
-            self.parts.push(Part {
-                number,
-                ..Part::default()
+    fn bucket(&mut self, now: Millis) -> &mut Bucket {
+        let index = self.bucket_index(now);
+        let first = (index + 1).saturating_sub(2 * BUCKETS);
+        self.buckets.retain(|b| b.index >= first);
+        if self.buckets.last().is_none_or(|b| b.index != index) {
+            self.buckets.push(Bucket {
+                index,
+                ..Bucket::default()
             });
         }
-        let last = self.parts.len() - 1;
-        &mut self.parts[last]
+        let last = self.buckets.len() - 1;
+        &mut self.buckets[last]
     }
 
-    fn number(&self, now: Millis) -> u64 {
-        now.0 / (self.window.0 / PARTS)
+    fn bucket_index(&self, now: Millis) -> u64 {
+        now.0 / (self.window.0 / BUCKETS)
     }
 }
--- a/crates/relay/src/events.rs
+++ b/crates/relay/src/events.rs
@@ -29,20 +29,20 @@
 /// Collects bytes until an event is whole.
 #[derive(Clone, Debug, Default)]
 pub struct Splitter {
-    held: BytesMut,
+    buffer: BytesMut,
     /// How far the bytes held have been searched for the end of an event.
-    searched: usize,
+    scanned: usize,
 }
 
 impl Splitter {
     /// Takes in bytes of the stream.
     pub fn push(&mut self, bytes: &[u8]) {
-        self.held.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
     /// Whether part of an event is held.
     pub fn is_partial(&self) -> bool {
-        !self.held.is_empty()
+        !self.buffer.is_empty()
     }
 
     /// The next whole event, if there is one.
@@ -51,23 +51,23 @@
     ///
     /// [`SplitError`] if the bytes are not events.
     pub fn pop(&mut self) -> Result<Option<Event>, SplitError> {
-        let Some(end) = self.end() else {
-            self.searched = self.held.len().saturating_sub(3);
-            if self.held.len() > MAX_EVENT_BYTES {
+        let Some(end) = self.event_end() else {
+            self.scanned = self.buffer.len().saturating_sub(3);
+            if self.buffer.len() > MAX_EVENT_BYTES {
                 return Err(SplitError::TooLarge);
             }
             return Ok(None);
         };
-        self.searched = 0;
-        let bytes = self.held.split_to(end).freeze();
-        let id = event_id(&bytes)?;
+        self.scanned = 0;
+        let bytes = self.buffer.split_to(end).freeze();
+        let id = parse_id(&bytes)?;
         Ok(Some(Event { id, bytes }))
     }
 
     /// The length of the first event with its empty line, if that has come.
-    fn end(&self) -> Option<usize> {
-        let bytes = &self.held[..];
-        let mut from = self.searched;
+    fn event_end(&self) -> Option<usize> {
+        let bytes = &self.buffer[..];
+        let mut from = self.scanned;
         while let Some(at) = bytes[from..].iter().position(|b| *b == b'\n') {
             let next = from + at + 1;
             if bytes[next..].starts_with(b"\n") {
@@ -83,7 +83,7 @@
 }
 
 /// The number in the `id` field of an event.
-fn event_id(bytes: &[u8]) -> Result<Option<u64>, SplitError> {
+fn parse_id(bytes: &[u8]) -> Result<Option<u64>, SplitError> {
     let Some(line) = bytes
         .split(|b| *b == b'\n')
         .find_map(|l| l.strip_prefix(b"id:"))
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -10,5 +10,5 @@
 
 pub use budget::Budget;
 pub use events::{Event, SplitError, Splitter};
-pub use outcome::{Next, Outcome, Tries};
-pub use progress::{Progress, Step};
+pub use outcome::{Action, Outcome, SendHistory};
+pub use progress::{EventAction, Progress};
--- a/crates/relay/src/progress.rs
+++ b/crates/relay/src/progress.rs
@@ -8,9 +8,9 @@
 
 /// What is to be done with an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum EventAction {
     /// Pass it on.
-    Pass,
+    Forward,
     /// Drop it; the caller has it already.
     Drop,
     /// End this run: an event before it is missing.
@@ -21,65 +21,65 @@
 #[derive(Clone, Debug)]
 pub struct Progress {
     policy: Policy,
-    last: Option<u64>,
-    passed: u64,
-    heard: Millis,
+    last_id: Option<u64>,
+    forwarded: u64,
+    idle_since: Millis,
     gaps: Gaps,
 }
 
 impl Progress {
     /// A stream whose caller holds the events up to `last`.
-    pub fn new(now: Millis, last: Option<u64>, policy: Policy) -> Self {
+    pub fn new(now: Millis, last_id: Option<u64>, policy: Policy) -> Self {
         Self {
             policy,
-            last,
-            passed: 0,
-            heard: now,
+            last_id,
+            forwarded: 0,
+            idle_since: now,
             gaps: Gaps::default(),
         }
     }
 
     /// Judges an event that has just come.
-    pub fn event(&mut self, now: Millis, event: &Event) -> Step {
-        if let (Some(id), Some(last)) = (event.id, self.last) {
+    pub fn record(&mut self, now: Millis, event: &Event) -> EventAction {
+        if let (Some(id), Some(last)) = (event.id, self.last_id) {
             if id <= last {
-                return Step::Drop;
+                return EventAction::Drop;
             }
             if id != last + 1 {
-                return Step::Gap;
+                return EventAction::Gap;
             }
         }
-        if self.passed > 0 {
-            self.gaps.add(now.since(self.heard).0);
+        if self.forwarded > 0 {
+            self.gaps.add(now.since(self.idle_since).0);
         }
-        self.passed += 1;
-        self.heard = now;
-        self.last = event.id.or(self.last);
-        Step::Pass
+        self.forwarded += 1;
+        self.idle_since = now;
+        self.last_id = event.id.or(self.last_id);
+        EventAction::Forward
     }
 
     /// A run was opened at another server; the silence until its first event is its own.
-    pub fn reopened(&mut self, now: Millis) {
-        self.heard = now;
+    pub fn reset_idle_timer(&mut self, now: Millis) {
+        self.idle_since = now;
     }
 
     /// When silence is taken as the loss of the server.
-    pub fn suspect_at(&self) -> Millis {
-        self.heard + Millis(self.gaps.limit(&self.policy))
+    pub fn stall_deadline(&self) -> Millis {
+        self.idle_since + Millis(self.gaps.limit(&self.policy))
     }
 
     /// The number of the last event that was passed on.
-    pub fn last(&self) -> Option<u64> {
-        self.last
+    pub fn last_id(&self) -> Option<u64> {
+        self.last_id
     }
 
     /// How many events were passed on.
-    pub fn passed(&self) -> u64 {
-        self.passed
+    pub fn forwarded(&self) -> u64 {
+        self.forwarded
     }
 
     /// When the last event came.
-    pub fn heard(&self) -> Millis {
-        self.heard
+    pub fn idle_since(&self) -> Millis {
+        self.idle_since
     }
 }
--- a/crates/relay/tests/event_splitting.rs
+++ b/crates/relay/tests/event_splitting.rs
@@ -5,13 +5,13 @@
 use relay::{SplitError, Splitter};
 
 /// The number and the bytes of an event.
-type Found = (Option<u64>, Vec<u8>);
+type IdAndBytes = (Option<u64>, Vec<u8>);
 
-fn split(pieces: &[&[u8]]) -> Result<Vec<Found>, SplitError> {
+fn split(chunks: &[&[u8]]) -> Result<Vec<IdAndBytes>, SplitError> {
     let mut splitter = Splitter::default();
     let mut events = Vec::new();
-    for piece in pieces {
-        splitter.push(piece);
+    for chunk in chunks {
+        splitter.push(chunk);
         while let Some(event) = splitter.pop()? {
             events.push((event.id, event.bytes.to_vec()));
         }
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn partial_event_is_held() {
+fn partial_event_is_buffered() {
     let mut splitter = Splitter::default();
     splitter.push(b"id: 1\ndata: a\n");
     assert_eq!(splitter.pop(), Ok(None));
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn bytes_that_are_no_events() {
+fn invalid_events() {
     assert_eq!(split(&[b"id: x\n\n"]), Err(SplitError::BadId));
     let large = vec![b'a'; 2 << 20];
     assert_eq!(split(&[&large]), Err(SplitError::TooLarge));
@@ -46,7 +46,7 @@
 
 /// Any cut of a stream gives the same events, and no byte is lost.
 #[test]
-fn any_cut() {
+fn arbitrary_chunks() {
     let config = Config {
         cases: 256,
         failure_persistence: None,
@@ -63,13 +63,13 @@
                 .iter()
                 .map(|(id, data, end)| format!("id: {id}{end}data: {data}{end}{end}"))
                 .collect();
-            let whole = texts.concat().into_bytes();
-            let mut at: Vec<usize> = cuts.iter().map(|c| c % (whole.len() + 1)).collect();
-            at.extend([0, whole.len()]);
+            let stream = texts.concat().into_bytes();
+            let mut at: Vec<usize> = cuts.iter().map(|c| c % (stream.len() + 1)).collect();
+            at.extend([0, stream.len()]);
             at.sort_unstable();
-            let pieces: Vec<&[u8]> = at.windows(2).map(|w| &whole[w[0]..w[1]]).collect();
-            let found = split(&pieces).unwrap();
-            let expected: Vec<Found> = events
+            let chunks: Vec<&[u8]> = at.windows(2).map(|w| &stream[w[0]..w[1]]).collect();
+            let found = split(&chunks).unwrap();
+            let expected: Vec<IdAndBytes> = events
                 .iter()
                 .zip(texts)
                 .map(|((id, _, _), text)| (Some(u64::from(*id)), text.into_bytes()))
--- a/crates/relay/tests/retry_budget.rs
+++ b/crates/relay/tests/retry_budget.rs
@@ -9,32 +9,36 @@
 const WINDOW: Millis = Millis(10_000);
 
 #[test]
-fn earned_and_fixed_parts() {
+fn earned_and_fixed_allowance() {
     let mut budget = Budget::new(WINDOW, 800, 40, 8);
-    assert_eq!(budget.left(Millis(0)), 5, "an eighth of the fixed part");
+    assert_eq!(
+        budget.remaining(Millis(0)),
+        5,
+        "an eighth of the fixed part"
+    );
     for _ in 0..10 {
-        budget.request(Millis(0));
+        budget.record_request(Millis(0));
     }
-    assert_eq!(budget.left(Millis(0)), 13);
-    let spent = (0..50).filter(|_| budget.spend(Millis(1))).count();
+    assert_eq!(budget.remaining(Millis(0)), 13);
+    let spent = (0..50).filter(|_| budget.try_spend(Millis(1))).count();
     assert_eq!(spent, 13);
-    assert_eq!(budget.left(Millis(12_000)), 5, "the window has passed");
+    assert_eq!(budget.remaining(Millis(12_000)), 5, "the window has passed");
 }
 
 /// Half of the callers are gone, and the streams of their servers are to go on elsewhere.
 #[test]
-fn earned_in_the_window_before() {
+fn earned_in_the_previous_window() {
     let mut budget = Budget::new(WINDOW, 800, 0, 1);
     for second in 0..10 {
         for _ in 0..10 {
-            budget.request(Millis(second * 1_000));
+            budget.record_request(Millis(second * 1_000));
         }
     }
     let mut spent = 0;
     for second in 10..20 {
         let now = Millis(second * 1_000);
-        budget.request(now);
-        spent += (0..100).filter(|_| budget.spend(now)).count();
+        budget.record_request(now);
+        spent += (0..100).filter(|_| budget.try_spend(now)).count();
     }
     assert_eq!(
         spent, 80,
@@ -44,34 +48,34 @@
 
 /// Callers go from one host to another that hears nothing of it.
 #[test]
-fn alone_in_this_window_only() {
+fn isolated_hosts_count_one_window() {
     let mut before = Budget::new(WINDOW, 800, 0, 2);
     let mut after = before.clone();
     for second in 0..20 {
         let budget = if second < 10 { &mut before } else { &mut after };
         for _ in 0..10 {
-            budget.request(Millis(second * 1_000));
+            budget.record_request(Millis(second * 1_000));
         }
     }
     let now = Millis(19_000);
-    let left = before.left(now) + after.left(now);
+    let left = before.remaining(now) + after.remaining(now);
     assert_eq!(left, 80, "of the 100 requests of one window");
 }
 
 #[test]
-fn silent_hosts_leave_their_part() {
+fn fixed_share_of_the_known_hosts() {
     let mut budget = Budget::new(WINDOW, 0, 80, 16);
     let alone = Shared {
         heard: 1,
         known: 8,
         ..Shared::default()
     };
-    budget.exchanged(alone);
-    assert_eq!(budget.left(Millis(0)), 10);
+    budget.finish_exchange(alone);
+    assert_eq!(budget.remaining(Millis(0)), 10);
 }
 
 #[test]
-fn share_between_exchanges() {
+fn equal_share_between_exchanges() {
     let mut budget = Budget::new(WINDOW, 1_000, 0, 1);
     let others = Shared {
         heard: 10,
@@ -79,32 +83,32 @@
         requests: [100; 3],
         ..Shared::default()
     };
-    budget.exchanged(others);
-    let spent = (0..100).filter(|_| budget.spend(Millis(0))).count();
+    budget.finish_exchange(others);
+    let spent = (0..100).filter(|_| budget.try_spend(Millis(0))).count();
     assert_eq!(spent, 10, "a tenth, until the next exchange");
-    budget.told();
+    budget.begin_exchange();
     assert!(
-        !budget.spend(Millis(1)),
+        !budget.try_spend(Millis(1)),
         "nothing is known of the others yet"
     );
-    budget.exchanged(others);
-    assert!(budget.spend(Millis(1)));
-    budget.exchanged(others);
-    let spent = (0..100).filter(|_| budget.spend(Millis(1))).count();
+    budget.finish_exchange(others);
+    assert!(budget.try_spend(Millis(1)));
+    budget.finish_exchange(others);
+    let spent = (0..100).filter(|_| budget.try_spend(Millis(1))).count();
     assert_eq!(spent, 8, "what was sent since it told is not given again");
 }
 
 #[test]
-fn half_of_the_share_is_urgent() {
+fn exchange_is_due_at_half_use() {
     let mut budget = Budget::new(WINDOW, 0, 100, 1);
-    budget.exchanged(Shared {
+    budget.finish_exchange(Shared {
         heard: 5,
         known: 5,
         ..Shared::default()
     });
     let is_urgent = (0..12).map(|_| {
-        budget.spend(Millis(0));
-        budget.is_urgent(Millis(0))
+        budget.try_spend(Millis(0));
+        budget.is_exchange_due(Millis(0))
     });
     let first = is_urgent.take_while(|is_urgent| !is_urgent).count();
     assert_eq!(first, 9, "the tenth of 20");
@@ -115,14 +119,17 @@
         ..Shared::default()
     };
     let mut budget = Budget::new(WINDOW, 0, 100, 1);
-    budget.exchanged(scarce);
-    budget.spend(Millis(0));
-    assert!(budget.is_urgent(Millis(0)), "more than half of all is used");
+    budget.finish_exchange(scarce);
+    budget.try_spend(Millis(0));
+    assert!(
+        budget.is_exchange_due(Millis(0)),
+        "more than half of all is used"
+    );
 }
 
 /// Hosts of very different load that exchange now and then, and want more than there is.
 #[test]
-fn sum_holds_over_hosts() {
+fn total_is_bounded_over_hosts() {
     let config = Config {
         cases: 64,
         failure_persistence: None,
@@ -135,7 +142,7 @@
         .run(&(loads, 1_u64..10), |(loads, every)| {
             let hosts = loads.len() as u64;
             let mut budgets = vec![Budget::new(WINDOW, 800, 150, hosts); loads.len()];
-            let (mut requests, mut repeats) = (0, 0);
+            let (mut requests, mut retries) = (0, 0);
             for step in 0..100 {
                 let now = Millis(step * 90);
                 if step % every == 0 {
@@ -143,21 +150,21 @@
                 }
                 for (budget, load) in budgets.iter_mut().zip(&loads) {
                     for _ in 0..*load / 10 {
-                        budget.request(now);
+                        budget.record_request(now);
                         requests += 1;
                         for _ in 0..2 {
-                            if budget.spend(now) {
-                                repeats += 1;
-                                budget.waited();
+                            if budget.try_spend(now) {
+                                retries += 1;
+                                budget.end_wait();
                             } else {
-                                budget.wait();
+                                budget.begin_wait();
                             }
                         }
                     }
                 }
             }
             let allowed = requests * 8 / 10 + 150;
-            prop_assert!(repeats <= allowed, "{repeats} repeats, {allowed} allowed");
+            prop_assert!(retries <= allowed, "{retries} retries, {allowed} allowed");
             Ok(())
         })
         .unwrap();
@@ -165,21 +172,21 @@
 
 /// A pool smaller than the number of hosts.
 #[test]
-fn rest_goes_to_waiting() {
+fn remainder_goes_to_waiting_hosts() {
     let mut budgets = vec![Budget::new(WINDOW, 0, 31, 60); 60];
     exchange(&mut budgets, Millis(0));
-    assert!(budgets.iter().all(|b| b.left(Millis(0)) == 0));
+    assert!(budgets.iter().all(|b| b.remaining(Millis(0)) == 0));
     for host in [7, 30, 59] {
-        budgets[host].wait();
+        budgets[host].begin_wait();
     }
     exchange(&mut budgets, Millis(100));
-    let left: Vec<u64> = budgets.iter().map(|b| b.left(Millis(100))).collect();
+    let left: Vec<u64> = budgets.iter().map(|b| b.remaining(Millis(100))).collect();
     assert_eq!((left[7], left[30], left[59]), (11, 10, 10));
     assert_eq!(left.iter().sum::<u64>(), 31, "no more than there is");
 }
 
 fn exchange(budgets: &mut [Budget], now: Millis) {
-    let used = budgets.iter().map(|b| (b.requests(now), b.repeats(now)));
+    let used = budgets.iter().map(|b| (b.requests(now), b.retries(now)));
     let used: Vec<([u64; 3], u64)> = used.collect();
     let hosts = budgets.len() as u64;
     let sums = used.iter().fold(([0; 3], 0), |(q, r), u| {
@@ -189,8 +196,8 @@
     let mut before = 0;
     for (budget, own) in budgets.iter_mut().zip(&used) {
         let is_waiting = budget.waiting() > 0;
-        budget.told();
-        budget.exchanged(Shared {
+        budget.begin_exchange();
+        budget.finish_exchange(Shared {
             heard: hosts,
             known: hosts,
             requests: [0, 1, 2].map(|i| sums.0[i] - own.0[i]),
--- a/crates/relay/tests/send_outcomes.rs
+++ b/crates/relay/tests/send_outcomes.rs
@@ -1,116 +1,137 @@
 //! What follows a send: another one, the answer, a refusal, or that it is not known.
 
 use base::prelude::*;
-use relay::{Next, Outcome, Tries};
+use relay::{Action, Outcome, SendHistory};
 use routing::Kind;
 
-fn next(tries: &mut Tries, outcome: Outcome, kind: Kind) -> Next {
-    tries.next(outcome, kind, 2)
+fn record(history: &mut SendHistory, outcome: Outcome, kind: Kind) -> Action {
+    history.record(outcome, kind, 2)
 }
 
 #[test]
-fn once_is_not_repeated() {
-    for outcome in [Outcome::Broken, Outcome::Silent] {
-        let mut tries = Tries::default();
-        assert_eq!(next(&mut tries, outcome, Kind::Once), Next::Unknown);
-        let mut tries = Tries::default();
-        assert_eq!(next(&mut tries, outcome, Kind::Stream), Next::Unknown);
+fn once_is_not_retried() {
+    for outcome in [Outcome::Broken, Outcome::TimedOut] {
+        let mut history = SendHistory::default();
+        assert_eq!(
+            record(&mut history, outcome, Kind::Once),
+            Action::ReportUnknown
+        );
+        let mut history = SendHistory::default();
+        assert_eq!(
+            record(&mut history, outcome, Kind::Stream),
+            Action::ReportUnknown
+        );
     }
-    let mut tries = Tries::default();
-    assert_eq!(next(&mut tries, Outcome::Failed, Kind::Once), Next::Deliver);
+    let mut history = SendHistory::default();
+    assert_eq!(
+        record(&mut history, Outcome::Failed, Kind::Once),
+        Action::Deliver
+    );
 }
 
 #[test]
-fn unrun_sends_go_elsewhere() {
+fn requests_not_run_go_elsewhere() {
     for (outcome, expected) in [
-        (Outcome::NotRun, Next::Repeat),
-        (Outcome::Moved, Next::Repeat),
-        (Outcome::Unsent, Next::Resend),
+        (Outcome::NotRun, Action::Retry),
+        (Outcome::Moved, Action::Retry),
+        (Outcome::Unsent, Action::Resend),
     ] {
-        let mut tries = Tries::default();
-        assert_eq!(next(&mut tries, outcome, Kind::Once), expected);
-        assert_eq!(tries.give_up(), Next::Refuse, "it has not run");
+        let mut history = SendHistory::default();
+        assert_eq!(record(&mut history, outcome, Kind::Once), expected);
+        assert_eq!(history.abandon(), Action::Refuse, "it has not run");
     }
 }
 
 #[test]
 fn no_refusal_after_a_run() {
-    let mut tries = Tries::default();
+    let mut history = SendHistory::default();
     assert_eq!(
-        next(&mut tries, Outcome::Broken, Kind::Idempotent),
-        Next::Repeat
+        record(&mut history, Outcome::Broken, Kind::Idempotent),
+        Action::Retry
     );
-    assert_eq!(tries.give_up(), Next::Unknown);
+    assert_eq!(history.abandon(), Action::ReportUnknown);
     assert_eq!(
-        next(&mut tries, Outcome::NotRun, Kind::Idempotent),
-        Next::Repeat
+        record(&mut history, Outcome::NotRun, Kind::Idempotent),
+        Action::Retry
+    );
+    assert_eq!(
+        history.without_retry(Outcome::NotRun),
+        Action::ReportUnknown
     );
-    assert_eq!(tries.unrepeated(Outcome::NotRun), Next::Unknown);
 }
 
 #[test]
-fn attempts_bound_runs() {
-    let mut tries = Tries::default();
+fn attempts_bound_retries() {
+    let mut history = SendHistory::default();
     assert_eq!(
-        next(&mut tries, Outcome::Failed, Kind::Idempotent),
-        Next::Repeat
+        record(&mut history, Outcome::Failed, Kind::Idempotent),
+        Action::Retry
     );
     assert_eq!(
-        next(&mut tries, Outcome::Failed, Kind::Idempotent),
-        Next::Deliver
+        record(&mut history, Outcome::Failed, Kind::Idempotent),
+        Action::Deliver
     );
 }
 
 #[test]
-fn budget_bounds_repeats() {
+fn outcomes_without_retry() {
     let ends = [
-        (Outcome::Broken, Kind::Resumable, Next::Unknown),
-        (Outcome::Failed, Kind::Idempotent, Next::Deliver),
-        (Outcome::NotRun, Kind::Once, Next::Refuse),
-        (Outcome::Moved, Kind::Once, Next::Refuse),
+        (Outcome::Broken, Kind::Resumable, Action::ReportUnknown),
+        (Outcome::Failed, Kind::Idempotent, Action::Deliver),
+        (Outcome::NotRun, Kind::Once, Action::Refuse),
+        (Outcome::Moved, Kind::Once, Action::Refuse),
     ];
     for (outcome, kind, end) in ends {
-        let mut tries = Tries::default();
-        assert_eq!(tries.next(outcome, kind, 5), Next::Repeat);
-        assert_eq!(tries.unrepeated(outcome), end);
+        let mut history = SendHistory::default();
+        assert_eq!(history.record(outcome, kind, 5), Action::Retry);
+        assert_eq!(history.without_retry(outcome), end);
     }
-    let mut tries = Tries::default();
-    let unsent = tries.next(Outcome::Unsent, Kind::Once, 5);
-    assert_eq!(unsent, Next::Resend, "nothing arrived that would count");
+    let mut history = SendHistory::default();
+    let unsent = history.record(Outcome::Unsent, Kind::Once, 5);
+    assert_eq!(unsent, Action::Resend, "nothing arrived that would count");
 }
 
 #[test]
-fn wait_for_a_repeat() {
-    let patience = Millis(10_000);
-    assert_eq!(Tries::repeat_wait(Millis(0), patience), Millis(2_000));
-    assert_eq!(Tries::repeat_wait(Millis(5_500), patience), Millis(500));
+fn retry_wait_is_bounded() {
+    let time_limit = Millis(10_000);
     assert_eq!(
-        Tries::repeat_wait(Millis(7_000), patience),
+        SendHistory::retry_wait(Millis(0), time_limit),
+        Millis(2_000)
+    );
+    assert_eq!(
+        SendHistory::retry_wait(Millis(5_500), time_limit),
+        Millis(500)
+    );
+    assert_eq!(
+        SendHistory::retry_wait(Millis(7_000), time_limit),
         Millis(0),
         "too late to be served"
     );
 }
 
 #[test]
-fn unreachable_servers_end() {
-    let mut tries = Tries::default();
-    let resends =
-        (0..100).take_while(|_| next(&mut tries, Outcome::Unsent, Kind::Once) == Next::Resend);
+fn unsent_requests_are_bounded() {
+    let mut history = SendHistory::default();
+    let resends = (0..100)
+        .take_while(|_| record(&mut history, Outcome::Unsent, Kind::Once) == Action::Resend);
     assert!(resends.count() < 20);
 }
 
 #[test]
-fn pauses_grow_and_end() {
-    let mut tries = Tries::default();
-    let patience = Millis(10_000);
-    let mut pauses = Vec::new();
+fn backoff_grows_until_cutoff() {
+    let mut history = SendHistory::default();
+    let time_limit = Millis(10_000);
+    let mut backoffs = Vec::new();
     for _ in 0..4 {
-        next(&mut tries, Outcome::NotRun, Kind::Resumable);
-        pauses.extend(tries.pause(Millis(0), patience));
+        record(&mut history, Outcome::NotRun, Kind::Resumable);
+        backoffs.extend(history.backoff(Millis(0), time_limit));
     }
-    assert!(pauses.is_sorted() && pauses[0] < pauses[3], "{pauses:?}");
+    assert!(
+        backoffs.is_sorted() && backoffs[0] < backoffs[3],
+        "{backoffs:?}"
+    );
     assert_eq!(
-        tries.pause(Millis(6_000), patience),
+        history.backoff(Millis(6_000), time_limit),
         None,
         "too late to be served"
     );
--- a/crates/relay/tests/stream_progress.rs
+++ b/crates/relay/tests/stream_progress.rs
@@ -3,7 +3,7 @@
 use base::prelude::*;
 use bytes::Bytes;
 use generation::Policy;
-use relay::{Event, Progress, Step};
+use relay::{Event, EventAction, Progress};
 
 fn event(id: u64) -> Event {
     Event {
@@ -23,43 +23,39 @@
 #[test]
 fn each_event_once() {
     let mut progress = Progress::new(Millis(0), None, policy());
-    let steps = [1, 2, 2, 1, 3, 5].map(|id| progress.event(Millis(id), &event(id)));
+    let actions = [1, 2, 2, 1, 3, 5].map(|id| progress.record(Millis(id), &event(id)));
     let expected = [
-        Step::Pass,
-        Step::Pass,
-        Step::Drop,
-        Step::Drop,
-        Step::Pass,
-        Step::Gap,
+        EventAction::Forward,
+        EventAction::Forward,
+        EventAction::Drop,
+        EventAction::Drop,
+        EventAction::Forward,
+        EventAction::Gap,
     ];
-    assert_eq!(steps, expected);
-    assert_eq!((progress.last(), progress.passed()), (Some(3), 3));
+    assert_eq!(actions, expected);
+    assert_eq!((progress.last_id(), progress.forwarded()), (Some(3), 3));
 }
 
 #[test]
-fn goes_on_behind_the_callers_event() {
+fn continues_after_last_event_id() {
     let mut progress = Progress::new(Millis(0), Some(12), policy());
-    assert_eq!(progress.event(Millis(1), &event(12)), Step::Drop);
-    assert_eq!(progress.event(Millis(2), &event(14)), Step::Gap);
-    assert_eq!(progress.event(Millis(3), &event(13)), Step::Pass);
+    assert_eq!(progress.record(Millis(1), &event(12)), EventAction::Drop);
+    assert_eq!(progress.record(Millis(2), &event(14)), EventAction::Gap);
+    assert_eq!(progress.record(Millis(3), &event(13)), EventAction::Forward);
 }
 
 #[test]
-fn silence_within_bounds() {
+fn stall_limit_within_bounds() {
     let mut progress = Progress::new(Millis(0), None, policy());
     for id in 1..50 {
-        progress.event(Millis(id * 30), &event(id));
+        progress.record(Millis(id * 30), &event(id));
     }
-    let silence = progress.suspect_at().since(progress.heard());
-    assert_eq!(
-        silence,
-        Millis(1_000),
-        "a steady stream has the least limit"
-    );
+    let limit = progress.stall_deadline().since(progress.idle_since());
+    assert_eq!(limit, Millis(1_000), "a steady stream has the least limit");
     let mut uneven = Progress::new(Millis(0), None, policy());
     for id in 1..50 {
-        uneven.event(Millis(id * 400), &event(id));
+        uneven.record(Millis(id * 400), &event(id));
     }
-    let silence = uneven.suspect_at().since(uneven.heard());
-    assert_eq!(silence, Millis(1_500), "an uneven one the greatest");
+    let limit = uneven.stall_deadline().since(uneven.idle_since());
+    assert_eq!(limit, Millis(1_500), "an uneven one the greatest");
 }
