--- a/crates/balance/src/place.rs
+++ b/crates/balance/src/place.rs
@@ -1,23 +1,23 @@
-//! Where a request is placed when the memory of engines is the limit.
+//! Placement of prompts on engines whose KV cache is the bottleneck.
 //!
-//! Answers the load of long generations on engines whose memory holds few of them: a prompt waits
-//! for the prompts before it, and a generation that does not fit interrupts another one. Both count
-//! before the number of requests. Placed by what this host knows of its own requests; equal choices
-//! are drawn at random, so that hosts do not all take the same server.
+//! Long generations run on engines whose KV cache holds only few of them: a prompt waits for the prefill of
+//! the prompts ahead of it, and a generation that does not fit preempts another one. Both therefore rank
+//! before the number of requests. [`place`] goes by this host's own requests only; ties are broken at random,
+//! so that hosts do not all choose the same server. [`shortlist`] and [`best_report`] choose by polling.
 
 use std::cmp::Reverse;
 
 use base::hash::{rendezvous, stable};
 
-/// What this host has placed at a server and what the server has told.
+/// Load that this host's requests put on a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Tokens of prompts that have given no output yet.
+    /// Tokens of prompts without output yet, whose prefill is still pending.
     pub prefill: u64,
-    /// Tokens of memory for the generations that run, with their output.
+    /// KV-cache tokens of running generations, including their whole output.
     pub memory: u64,
-    /// Tokens of memory for copies of generations that run elsewhere.
-    pub copies: u64,
+    /// KV-cache tokens of backups of generations that run at other servers.
+    pub backups: u64,
     /// Requests in flight.
     pub running: u64,
 }
@@ -25,130 +25,138 @@
 /// A server that may be chosen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Candidate<'a> {
-    /// The server.
+    /// Id of the server.
     pub server: &'a str,
     /// Its data centre.
-    pub centre: &'a str,
-    /// Whether it is left out for its failures.
+    pub data_centre: &'a str,
+    /// Whether it is ejected for its failures.
     pub is_ejected: bool,
-    /// Whether another host has found it to be gone, which this host has not seen itself.
-    pub is_doubtful: bool,
-    /// Its load.
+    /// Whether another host reports it as failed while this host has not observed a failure itself.
+    pub is_suspected: bool,
+    /// Load from this host's requests.
     pub load: Load,
-    /// The tokens that its memory holds; 0 for a plain service.
+    /// Size of its KV cache in tokens; 0 for a plain service, which has none.
     pub capacity: u64,
 }
 
-/// What is to be placed.
+/// Request to be placed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Wish<'a> {
-    /// Tokens of memory that are needed.
+pub struct PlaceRequest<'a> {
+    /// KV-cache tokens needed.
     pub memory: u64,
-    /// Servers that are taken only if there is no other.
+    /// Servers chosen only if there is no other.
     pub avoid: &'a [&'a str],
-    /// A data centre that is taken only if there is no other.
+    /// Data centre whose servers are chosen only if there is no other.
     pub avoid_centre: Option<&'a str>,
-    /// A data centre whose servers are taken before others, if they have room.
+    /// Data centre whose servers are chosen before others, if they have room.
     pub prefer_centre: Option<&'a str>,
-    /// A number that spreads equal choices, drawn at random.
-    pub spread: u64,
-    /// A hash of the prompt that is the same for each repeat of the request.
-    pub content: Option<u64>,
+    /// Random number that breaks ties.
+    pub seed: u64,
+    /// Hash of the prompt, which is the same for each retry; `None` to order servers by the seed.
+    pub prompt_hash: Option<u64>,
 }
 
-/// What a server has just said of itself.
+/// Load that a polled server reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Requests that wait or whose prompts are being read.
+    /// Requests that are queued or whose prefill is running.
     pub waiting: u64,
-    /// Requests that give output.
+    /// Requests that generate output.
     pub running: u64,
-    /// Tokens of memory in use.
+    /// KV-cache tokens in use that cannot be freed.
     pub used: u64,
 }
 
-/// The indices of at most `count` servers to ask, in the order in which they may hold the prompt.
+/// Indices of at most `count` servers to poll, the one most likely to have the prompt cached first.
 ///
-/// Answers streams that callers continue through another host after theirs has failed: all hosts find
-/// the same few servers for the same prompt, by rendezvous hashing, and the one that ran it before
-/// still has it in its memory.
-pub fn shortlist(candidates: &[Candidate<'_>], wish: &Wish<'_>, count: usize) -> Vec<usize> {
-    let key = format!("{:x}", wish.content.unwrap_or(wish.spread));
-    let mut found: Vec<usize> = (0..candidates.len())
+/// When a host fails, its callers continue their streams through another one. By rendezvous hashing all hosts
+/// find the same few servers for the same prompt, so the new host finds the server that ran it before and
+/// still has it in its KV cache.
+pub fn shortlist(
+    candidates: &[Candidate<'_>],
+    request: &PlaceRequest<'_>,
+    count: usize,
+) -> Vec<usize> {
+    let key = format!("{:x}", request.prompt_hash.unwrap_or(request.seed));
+    let mut eligible: Vec<usize> = (0..candidates.len())
         .filter(|i| !candidates[*i].is_ejected)
         .collect();
-    found.sort_by_cached_key(|i| {
+    eligible.sort_by_cached_key(|i| {
         let c = &candidates[*i];
-        let is_last = wish.avoid.contains(&c.server);
-        (is_last, c.is_doubtful, Reverse(rendezvous(&key, c.server)))
+        let is_last = request.avoid.contains(&c.server);
+        (is_last, c.is_suspected, Reverse(rendezvous(&key, c.server)))
     });
-    found.truncate(count);
-    found
+    eligible.truncate(count);
+    eligible
 }
 
-/// The memory that a generation needs.
+/// KV-cache memory that a generation needs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Need {
-    /// Tokens of memory, with its output.
+    /// KV-cache tokens of the prompt and the whole output.
     pub memory: u64,
     /// Tokens of output.
     pub output: u64,
-    /// The tokens that a server's memory holds; 0 for a plain service.
+    /// Size of a server's KV cache in tokens; 0 for a plain service, which has none.
     pub capacity: u64,
 }
 
 impl Need {
-    /// Whether a server has room until the generation ends: for those that wait there as well, and for what
-    /// those that run have yet to give, half of their output each, if all are of this size.
-    fn fits(&self, told: &LoadReport) -> bool {
-        let growth = told.waiting * self.memory + told.running * self.output / 2;
-        self.capacity == 0 || told.used + growth + self.memory <= self.capacity
+    /// Whether a server has room until the generation ends, next to the requests that wait there and the
+    /// remaining output of those that run.
+    ///
+    /// All are taken to be of this size, and those that run to have half of their output left on average.
+    fn fits(&self, report: &LoadReport) -> bool {
+        let growth = report.waiting * self.memory + report.running * self.output / 2;
+        self.capacity == 0 || report.used + growth + self.memory <= self.capacity
     }
 
-    /// Whether one of the servers that were asked has room.
+    /// Whether any of the polled servers has room; if not, the caller polls further servers.
     ///
-    /// Answers the load that is left to few servers when others are lost: where the first that were asked
-    /// are full, a generation would interrupt another one, or be interrupted itself, and its prompt be read
-    /// again.
+    /// After failures the remaining servers carry more load and the first ones polled may all be full. A
+    /// generation placed there would preempt another one or be preempted itself, which repeats a prefill.
     pub fn fits_any(&self, reports: &[Option<LoadReport>]) -> bool {
-        reports.iter().flatten().any(|t| self.fits(t))
+        reports.iter().flatten().any(|r| self.fits(r))
     }
 }
 
-/// The index of the best of servers that were asked; those that did not answer come last.
+/// Index of the best of the polled servers; those that did not answer come last.
 ///
-/// Answers a fleet of many hosts, each of which sees little of a server's load: a few servers are
-/// asked, and the prompt goes where the fewest prompts wait; among equals, to the first.
-pub fn best(reports: &[Option<LoadReport>], need: &Need) -> Option<usize> {
+/// Among many hosts each one knows only a small part of a server's load, so a few servers are polled. Servers
+/// with room rank first, then those where the fewest prompts wait, then those that run the fewest requests;
+/// ties go to the first, which is the most likely to have the prompt cached.
+pub fn best_report(reports: &[Option<LoadReport>], need: &Need) -> Option<usize> {
     let order = |i: &usize| match reports[*i] {
-        Some(t) => (false, !need.fits(&t), t.waiting, t.running, *i),
+        Some(r) => (false, !need.fits(&r), r.waiting, r.running, *i),
         None => (true, false, 0, 0, *i),
     };
     (0..reports.len()).min_by_key(order)
 }
 
-/// The index of the server to use, if there is any that is not left out.
-pub fn place(candidates: &[Candidate<'_>], wish: &Wish<'_>) -> Option<usize> {
+/// Index of the chosen server; `None` if all are ejected.
+pub fn place(candidates: &[Candidate<'_>], request: &PlaceRequest<'_>) -> Option<usize> {
     (0..candidates.len())
         .filter(|i| !candidates[*i].is_ejected)
-        .min_by_key(|i| order(candidates, wish, *i))
+        .min_by_key(|i| rank(candidates, request, *i))
 }
 
-/// What makes one server better than another; the least is the best.
-type Order = (bool, bool, bool, bool, bool, u64, u64, u64, u64);
+/// Sort key of a server; the smallest is the best.
+type Rank = (bool, bool, bool, bool, bool, u64, u64, u64, u64);
 
-fn order(candidates: &[Candidate<'_>], wish: &Wish<'_>, i: usize) -> Order {
+fn rank(candidates: &[Candidate<'_>], request: &PlaceRequest<'_>, i: usize) -> Rank {
     let c = &candidates[i];
-    let used = c.load.memory + c.load.copies;
+    let used = c.load.memory + c.load.backups;
     (
-        wish.avoid.contains(&c.server),
-        c.is_doubtful,
-        wish.avoid_centre == Some(c.centre),
-        c.capacity > 0 && used + wish.memory > c.capacity,
-        wish.prefer_centre.is_some_and(|centre| centre != c.centre),
+        request.avoid.contains(&c.server),
+        c.is_suspected,
+        request.avoid_centre == Some(c.data_centre),
+        c.capacity > 0 && used + request.memory > c.capacity,
+        request
+            .prefer_centre
+            .is_some_and(|centre| centre != c.data_centre),
         c.load.prefill,
         used,
         c.load.running,
-        stable(&(wish.spread ^ (i as u64).rotate_left(32)).to_le_bytes()),
+        stable(&(request.seed ^ (i as u64).rotate_left(32)).to_le_bytes()),
     )
 }
