--- a/crates/generation/src/event.rs
+++ b/crates/generation/src/event.rs
@@ -50,11 +50,11 @@
     /// Another router owns the request now.
     Superseded,
     /// The caller's connection is gone.
-    CallerGone,
+    CallerDisconnected,
     /// Whether tokens are being read from the engines; false while the caller is too slow.
     Reading(bool),
     /// The time by which the first token was of use is over.
-    Expired,
+    DeadlineExpired,
     /// Time has passed.
     Tick,
 }
@@ -109,7 +109,7 @@
     /// Close the connection of an attempt and leave its stream to another router.
     Detach(Attempt),
     /// The attempt whose tokens count has changed.
-    Current(Attempt),
+    SetCurrent(Attempt),
     /// Write the tokens before this offset to the journal.
     Journal {
         /// The number of tokens.
--- a/crates/generation/src/lib.rs
+++ b/crates/generation/src/lib.rs
@@ -8,7 +8,7 @@
 pub mod gaps;
 pub mod machine;
 pub mod policy;
-mod run;
+mod stream;
 
 pub use event::{Action, Event, Failure, OpenError, StreamError};
 pub use machine::Generation;
--- a/crates/generation/src/run.rs
+++ b/crates/generation/src/stream.rs
@@ -7,7 +7,7 @@
 use crate::policy::Policy;
 
 /// How many answered probes in a row excuse a stream that gives no token.
-const MAX_ANSWERED: u32 = 2;
+const MAX_ANSWERED_PROBES: u32 = 2;
 
 /// How far a stream has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
@@ -17,14 +17,15 @@
     /// It is accepted and has given no token.
     Waiting,
     /// It gives tokens.
-    Flowing,
+    #[serde(rename = "Flowing")]
+    Streaming,
     /// It went silent or broke, and is being resumed over a new connection since then.
     Probing(Millis),
 }
 
 /// The state of one engine stream.
 #[derive(Clone, Debug, Serialize)]
-pub(crate) struct Run {
+pub(crate) struct EngineStream {
     pub(crate) attempt: Attempt,
     pub(crate) stage: Stage,
     /// Whether it runs beside another that is only suspected.
@@ -32,15 +33,17 @@
     /// Whether a second attempt was started because of it.
     pub(crate) is_hedged: bool,
     /// When the stage began or the last token came.
-    pub(crate) last: Millis,
+    #[serde(rename = "last")]
+    pub(crate) last_progress: Millis,
     /// Whether it has given a token.
     has_tokens: bool,
     /// Probes answered since the last token.
-    answered: u32,
+    #[serde(rename = "answered")]
+    answered_probes: u32,
     gaps: Gaps,
 }
 
-impl Run {
+impl EngineStream {
     /// A stream that is being opened.
     pub(crate) fn new(now: Millis, attempt: Attempt, is_hedge: bool) -> Self {
         Self {
@@ -48,40 +51,40 @@
             stage: Stage::Opening,
             is_hedge,
             is_hedged: false,
-            last: now,
+            last_progress: now,
             has_tokens: false,
-            answered: 0,
+            answered_probes: 0,
             gaps: Gaps::default(),
         }
     }
 
     /// Notes a token.
-    pub(crate) fn token(&mut self, now: Millis) {
+    pub(crate) fn on_token(&mut self, now: Millis) {
         if self.has_tokens {
-            self.gaps.add(now.since(self.last).0);
+            self.gaps.add(now.since(self.last_progress).0);
         }
         self.has_tokens = true;
-        self.stage = Stage::Flowing;
+        self.stage = Stage::Streaming;
         self.is_hedged = false;
-        self.answered = 0;
-        self.last = now;
+        self.answered_probes = 0;
+        self.last_progress = now;
     }
 
     /// Notes that the engine accepted the stream, or answered a probe of it.
-    pub(crate) fn opened(&mut self, now: Millis) {
+    pub(crate) fn on_opened(&mut self, now: Millis) {
         if self.is_probing() {
-            self.answered += 1;
-            if self.answered > MAX_ANSWERED {
+            self.answered_probes += 1;
+            if self.answered_probes > MAX_ANSWERED_PROBES {
                 // The engine is alive but gives no token; the probe is left to run out.
                 return;
             }
         }
         self.stage = if self.has_tokens {
-            Stage::Flowing
+            Stage::Streaming
         } else {
             Stage::Waiting
         };
-        self.last = now;
+        self.last_progress = now;
     }
 
     /// Whether it is being resumed.
@@ -95,8 +98,8 @@
             // The opener has the limit of this stage; it reports a failure by itself.
             Stage::Opening | Stage::Probing(_) => return Millis::MAX,
             Stage::Waiting => policy.first_ms,
-            Stage::Flowing => self.gaps.limit(policy),
+            Stage::Streaming => self.gaps.limit(policy),
         };
-        self.last + Millis(limit)
+        self.last_progress + Millis(limit)
     }
 }
--- a/crates/generation/tests/script/mod.rs
+++ b/crates/generation/tests/script/mod.rs
@@ -40,7 +40,7 @@
             "token" => return self.tokens(case, now),
             "wake" => {
                 let generation = self.generation.as_ref().expect("`new` comes first");
-                return format!("{}\n", generation.wake(now));
+                return format!("{}\n", generation.wake_at(now));
             }
             _ => self.on(now, event(case), &mut actions),
         }
@@ -70,7 +70,7 @@
 
     fn on(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         let generation = self.generation.as_mut().expect("`new` comes first");
-        generation.on(now, event, actions);
+        generation.on_event(now, event, actions);
     }
 
     /// One line an action; journalled tokens are released at once unless they are held.
@@ -104,7 +104,7 @@
         Action::Reattach { attempt, from } => format!("reattach {attempt} from={from}\n"),
         Action::Cancel(attempt) => format!("cancel {attempt}\n"),
         Action::Detach(attempt) => format!("detach {attempt}\n"),
-        Action::Current(attempt) => format!("current {attempt}\n"),
+        Action::SetCurrent(attempt) => format!("current {attempt}\n"),
         Action::Journal { length, finished } => {
             let whole = if *finished { " whole" } else { "" };
             format!("journal {length}{whole}\n")
@@ -144,10 +144,10 @@
         "released" => Event::Released(Offset(number(case, "upto").expect("`upto=` is given"))),
         "verified" => Event::Verified,
         "superseded" => Event::Superseded,
-        "caller-gone" => Event::CallerGone,
+        "caller-gone" => Event::CallerDisconnected,
         "slow-caller" => Event::Reading(false),
         "caller-caught-up" => Event::Reading(true),
-        "expired" => Event::Expired,
+        "expired" => Event::DeadlineExpired,
         "tick" => Event::Tick,
         other => panic!("there is no command `{other}`"),
     }
--- a/crates/generation/tests/world/mod.rs
+++ b/crates/generation/tests/world/mod.rs
@@ -7,7 +7,7 @@
 use engines::Engines;
 use generation::Event;
 use journal::choice;
-use journal::record::{Append, Header, Link, Refusal, Snapshot};
+use journal::record::{Append, Header, Refusal, Segment, Snapshot};
 use journal::store::{Limits, Store};
 use owner::{Owner, Sent};
 use proptest::prelude::*;
@@ -228,7 +228,7 @@
         if self.hosts[self.owners[i].host].is_paused {
             return;
         }
-        let next = self.owners[i].generation.next();
+        let next = self.owners[i].generation.next_offset();
         if let Some(event) = self.engines.next_event(self.owners[i].number, n, next) {
             self.tell(i, event);
         }
@@ -280,10 +280,12 @@
         };
         let now = self.now;
         let mut out = Vec::new();
-        let is_expected = self.owners[i].replica.expects(call);
+        let is_expected = self.owners[i].replica.is_pending(call);
         match answer {
-            Ok(held) => self.owners[i].replica.acked(now, call, held, &mut out),
-            Err(refusal) => self.owners[i].replica.refused(now, call, refusal, &mut out),
+            Ok(held) => self.owners[i].replica.on_ack(now, call, held, &mut out),
+            Err(refusal) => self.owners[i]
+                .replica
+                .on_refused(now, call, refusal, &mut out),
         }
         self.on_replica(i, out);
         if is_expected && answer.is_ok() && self.owners[i].is_verifying {
@@ -358,15 +360,15 @@
         sealed: Vec<Option<Option<Snapshot>>>,
     ) {
         let is_complete = sealed.iter().all(Option::is_some);
-        let best = choice::best(sealed.into_iter().flatten().flatten().collect());
+        let latest = choice::latest(sealed.into_iter().flatten().flatten().collect());
         if is_complete {
-            let tokens = best.as_ref().map(|s| s.tokens.clone());
+            let tokens = latest.as_ref().map(|s| s.tokens.clone());
             self.sealed = Some((epoch, tokens.unwrap_or_default()));
         }
         let reached = Offset(self.caller.tokens.len() as u64);
         let is_first = self.caller.owner.is_none();
         self.caller.owner = Some(number);
-        let usable = best.filter(|s| {
+        let usable = latest.filter(|s| {
             let length = Offset(s.tokens.len() as u64);
             is_first || s.header.covers(self.caller.generation, reached, length)
         });
@@ -374,7 +376,7 @@
             Some(snapshot) => {
                 let mut header = snapshot.header;
                 if !is_complete && snapshot.finish.is_none() {
-                    header.lineage.push(Link {
+                    header.lineage.push(Segment {
                         generation: GenerationId(number),
                         start: Offset(snapshot.tokens.len() as u64),
                     });
@@ -411,7 +413,7 @@
         self.carry_out(i, sent);
     }
 
-    fn on_replica(&mut self, i: usize, actions: Vec<journal::replica::Action>) {
+    fn on_replica(&mut self, i: usize, actions: Vec<journal::replicator::Action>) {
         let sent = self.owners[i].on_replica(self.now, actions, &mut self.engines);
         self.carry_out(i, sent);
     }
@@ -485,7 +487,7 @@
 fn fresh(number: u64) -> Header {
     Header {
         digest: DIGEST,
-        lineage: vec![Link {
+        lineage: vec![Segment {
             generation: GenerationId(number),
             start: Offset(0),
         }],
--- a/crates/generation/tests/world/owner.rs
+++ b/crates/generation/tests/world/owner.rs
@@ -2,8 +2,8 @@
 
 use base::prelude::*;
 use generation::{Action, Event, Generation, Policy};
-use journal::record::{Append, End, Header, StreamRef};
-use journal::replica::{self, Replica};
+use journal::record::{Append, FinishReason, Header, StreamRef};
+use journal::replicator::{self, Replicator};
 
 use super::engines::Engines;
 use super::{HOSTS, key};
@@ -35,7 +35,7 @@
     pub(crate) epoch: Epoch,
     pub(crate) header: Header,
     pub(crate) generation: Generation,
-    pub(crate) replica: Replica,
+    pub(crate) replica: Replicator,
     pub(crate) is_verifying: bool,
     streams: Vec<(Attempt, usize)>,
     local: Offset,
@@ -54,9 +54,9 @@
             stall_ms: u64::MAX,
             ..Policy::default()
         };
-        let witness = replica::Policy {
+        let witness = replicator::Policy {
             required: is_required,
-            ..replica::Policy::default()
+            ..replicator::Policy::default()
         };
         let peers = (0..HOSTS).filter(|h| *h != host);
         let names = peers.map(|h| HostId(h.to_string())).collect();
@@ -71,7 +71,7 @@
             epoch,
             header,
             generation,
-            replica: Replica::new(now, witness, names),
+            replica: Replicator::new(now, witness, names),
             is_verifying: false,
             streams: Vec::new(),
             local: Offset(0),
@@ -92,7 +92,7 @@
 
     pub(crate) fn on(&mut self, now: Millis, event: Event, engines: &mut Engines) -> Vec<Sent> {
         let mut actions = Vec::new();
-        self.generation.on(now, event, &mut actions);
+        self.generation.on_event(now, event, &mut actions);
         let mut sent = Vec::new();
         self.act(now, actions, engines, &mut sent);
         sent
@@ -101,7 +101,7 @@
     pub(crate) fn on_replica(
         &mut self,
         now: Millis,
-        actions: Vec<replica::Action>,
+        actions: Vec<replicator::Action>,
         engines: &mut Engines,
     ) -> Vec<Sent> {
         let mut sent = Vec::new();
@@ -131,7 +131,7 @@
                     engines.cancel(self.stream(attempt));
                 }
                 Action::Detach(attempt) => engines.close(self.number, attempt),
-                Action::Current(attempt) => self.make_current(now, attempt, engines, sent),
+                Action::SetCurrent(attempt) => self.make_current(now, attempt, engines, sent),
                 Action::Journal { length, finished } => {
                     sent.push(Sent::Local(self.append(self.local)));
                     self.local = length;
@@ -166,7 +166,7 @@
         });
         sent.push(Sent::Local(self.append(self.local)));
         let mut out = Vec::new();
-        self.replica.touch(now, &mut out);
+        self.replica.header_changed(now, &mut out);
         self.act_replica(now, out, engines, sent);
     }
 
@@ -185,23 +185,23 @@
     fn act_replica(
         &mut self,
         now: Millis,
-        actions: Vec<replica::Action>,
+        actions: Vec<replicator::Action>,
         engines: &mut Engines,
         sent: &mut Vec<Sent>,
     ) {
         for action in actions {
             match action {
-                replica::Action::Send {
+                replicator::Action::Send {
                     host, from, call, ..
                 } => sent.push(Sent::Append {
                     to: host.0.parse().expect("hosts are named by number"),
                     call,
                     append: self.append(from),
                 }),
-                replica::Action::Advance(upto) => {
+                replicator::Action::Release(upto) => {
                     sent.extend(self.on(now, Event::Released(upto), engines));
                 }
-                replica::Action::Superseded(_) => {
+                replicator::Action::Superseded(_) => {
                     sent.extend(self.on(now, Event::Superseded, engines));
                 }
             }
@@ -215,7 +215,7 @@
             header: Some(self.header.clone()),
             from,
             tokens: self.generation.tokens()[from.0 as usize..].to_vec(),
-            finish: self.generation.is_whole().then_some(End::Stop),
+            finish: self.generation.is_complete().then_some(FinishReason::Stop),
         }
     }
 
--- a/crates/gooseberry-bench/src/faults/site.rs
+++ b/crates/gooseberry-bench/src/faults/site.rs
@@ -7,7 +7,7 @@
 use generation::Policy;
 use generation::policy::{Mode, ModelGone};
 use gooseberry_standin::{engine, platform};
-use journal::replica::Policy as Witness;
+use journal::replicator::Policy as Witness;
 use profiles::document::{Document, Kind, Profile, Service, Workspace};
 use serde::Serialize;
 use serde_json::json;
--- a/crates/gooseberry-router/src/context.rs
+++ b/crates/gooseberry-router/src/context.rs
@@ -111,7 +111,7 @@
         let mut hosts = Vec::new();
         for centre in centres {
             let inside = snapshot.hosts.iter().filter(|h| h.data_centre == *centre);
-            hosts.extend(choice::holders(key, &self.candidates(inside)));
+            hosts.extend(choice::takeover_hosts(key, &self.candidates(inside)));
         }
         let is_holder = |h: &&HostView| hosts.contains(&h.host);
         snapshot.hosts.iter().filter(is_holder).cloned().collect()
--- a/crates/gooseberry-router/src/drain.rs
+++ b/crates/gooseberry-router/src/drain.rs
@@ -7,7 +7,7 @@
 use base::prelude::*;
 use futures_util::{StreamExt, stream};
 use journal::record::Refusal;
-use journal::store::Copied;
+use journal::store::JournalCopy;
 
 use crate::config;
 use crate::context::Router;
@@ -61,7 +61,7 @@
 }
 
 /// Gives one journal to the first hosts that take it; returns whether one has it.
-async fn give(router: &Router, copy: Copied) -> bool {
+async fn give(router: &Router, copy: JournalCopy) -> bool {
     let mut holders = 0;
     for host in router.witnesses(&copy.append.key) {
         if holders == COPIES {
@@ -80,7 +80,7 @@
 }
 
 /// Gives a journal and its seal to one host; returns whether it need not be given to it again.
-async fn give_to(router: &Router, host: &HostId, copy: &Copied) -> bool {
+async fn give_to(router: &Router, host: &HostId, copy: &JournalCopy) -> bool {
     let Some(addr) = router.address(host) else {
         return false;
     };
--- a/crates/gooseberry-router/src/drive.rs
+++ b/crates/gooseberry-router/src/drive.rs
@@ -9,8 +9,8 @@
 use base::prelude::*;
 use cadence::prelude::*;
 use generation::{Action, Event, Failure, Generation};
-use journal::record::{End, Header, Link};
-use journal::replica::Replica;
+use journal::record::{FinishReason, Header, Segment};
+use journal::replicator::Replicator;
 use profiles::document::Profile;
 use serde_json::json;
 use tokio::sync::mpsc;
@@ -67,11 +67,11 @@
     epoch: Epoch,
     header: Header,
     generation: Generation,
-    replica: Replica,
+    replica: Replicator,
     attempts: Attempts,
     acks: mpsc::UnboundedSender<Acked>,
     acked: mpsc::UnboundedReceiver<Acked>,
-    end: Option<End>,
+    end: Option<FinishReason>,
     /// The tokens in this host's own journal.
     local: Offset,
     touched: Millis,
@@ -112,7 +112,7 @@
             Generation::takeover(now, policy, claimed.tokens, is_whole, claimed.delivered)
         };
         let witnesses = router.witnesses(&job.key);
-        let replica = Replica::new(now, job.profile.witness, witnesses);
+        let replica = Replicator::new(now, job.profile.witness, witnesses);
         let (acks, acked) = mpsc::unbounded_channel();
         let mut queue = VecDeque::new();
         if claimed.is_restart {
@@ -151,8 +151,8 @@
             let now = self.router.timer.now();
             let wake = self
                 .generation
-                .wake(now)
-                .min(self.replica.wake(now))
+                .wake_at(now)
+                .min(self.replica.wake_at(now))
                 .min(self.touched + TOUCH)
                 .min(self.expires());
             let is_over = self.generation.is_over();
@@ -190,7 +190,7 @@
     fn tell(&mut self, event: Event) {
         let mut actions = Vec::new();
         let now = self.router.timer.now();
-        self.generation.on(now, event, &mut actions);
+        self.generation.on_event(now, event, &mut actions);
         self.carry_out(actions);
     }
 
@@ -206,7 +206,7 @@
             Action::Reattach { attempt, from } => self.reattach(attempt, from),
             Action::Cancel(attempt) => self.attempts.cancel(attempt),
             Action::Detach(attempt) => self.attempts.detach(attempt),
-            Action::Current(attempt) => self.make_current(attempt),
+            Action::SetCurrent(attempt) => self.make_current(attempt),
             Action::Journal { length, finished } => self.journal(length, finished),
             Action::Verify => self.verify(),
             Action::Deliver { from, to } => self.deliver(from, to),
@@ -248,7 +248,7 @@
         self.replica.tick(now, &mut actions);
         self.carry_out_replica(actions);
         if now >= self.expires() {
-            self.tell(Event::Expired);
+            self.tell(Event::DeadlineExpired);
         }
         self.tell(Event::Tick);
     }
@@ -266,7 +266,7 @@
         self.is_caller_gone = true;
         self.queue.clear();
         self.queued = 0;
-        self.tell(Event::CallerGone);
+        self.tell(Event::CallerDisconnected);
         self.set_reading();
     }
 
@@ -274,7 +274,7 @@
     fn restart(&mut self) {
         let now = self.router.timer.now();
         self.epoch = self.epoch.succeed(self.router.incarnation);
-        let link = Link {
+        let link = Segment {
             generation: GenerationId(rand::random()),
             start: Offset(0),
         };
@@ -283,7 +283,7 @@
         self.local = Offset(0);
         self.end = None;
         let witnesses = self.router.witnesses(&self.job.key);
-        self.replica = Replica::new(now, self.job.profile.witness, witnesses);
+        self.replica = Replicator::new(now, self.job.profile.witness, witnesses);
         (self.acks, self.acked) = mpsc::unbounded_channel();
         self.push(Output::Restart(link.generation));
     }
@@ -315,8 +315,8 @@
     fn push_done(&mut self) {
         self.push(Output::Done {
             generation: self.header.generation(),
-            length: self.generation.next(),
-            end: self.end.unwrap_or(End::Stop),
+            length: self.generation.next_offset(),
+            end: self.end.unwrap_or(FinishReason::Stop),
         });
     }
 
@@ -397,7 +397,7 @@
                 "model": self.job.model,
                 "epoch": self.epoch,
                 "generation": self.header.generation(),
-                "length": self.generation.next(),
+                "length": self.generation.next_offset(),
                 "delivered": self.generation.delivered(),
                 "machine": self.generation,
                 "witness": self.replica,
@@ -409,7 +409,7 @@
     /// Tells the witness that the journal need not be kept for a takeover.
     fn finish(&mut self) {
         self.attempts.detach_all();
-        if self.generation.is_whole() && !self.is_caller_gone {
+        if self.generation.is_complete() && !self.is_caller_gone {
             self.close_journal();
         }
     }
--- a/crates/gooseberry-router/src/drive/journalling.rs
+++ b/crates/gooseberry-router/src/drive/journalling.rs
@@ -3,7 +3,7 @@
 use base::prelude::*;
 use generation::Event;
 use journal::record::{Append, Refusal};
-use journal::replica::Action;
+use journal::replicator::Action;
 
 use super::Driver;
 use crate::links::{Acked, Done, Item};
@@ -27,7 +27,7 @@
         }
         let now = self.router.timer.now();
         let mut actions = Vec::new();
-        self.replica.touch(now, &mut actions);
+        self.replica.header_changed(now, &mut actions);
         self.carry_out_replica(actions);
     }
 
@@ -50,12 +50,14 @@
     /// Takes in the answer of a witness.
     pub(super) fn on_acked(&mut self, acked: Acked) {
         let now = self.router.timer.now();
-        let is_expected = self.replica.expects(acked.call);
+        let is_expected = self.replica.is_pending(acked.call);
         let mut actions = Vec::new();
         match acked.answer {
-            Some(Ok(held)) => self.replica.acked(now, acked.call, held, &mut actions),
-            Some(Err(refusal)) => self.replica.refused(now, acked.call, refusal, &mut actions),
-            None => self.replica.failed(now, acked.call, &mut actions),
+            Some(Ok(held)) => self.replica.on_ack(now, acked.call, held, &mut actions),
+            Some(Err(refusal)) => self
+                .replica
+                .on_refused(now, acked.call, refusal, &mut actions),
+            None => self.replica.on_failed(now, acked.call, &mut actions),
         }
         self.carry_out_replica(actions);
         let is_confirmed = is_expected && matches!(acked.answer, Some(Ok(_)));
@@ -74,7 +76,7 @@
                     with_header,
                     call,
                 } => self.send(&host, from, with_header, call),
-                Action::Advance(upto) => self.tell(Event::Released(upto)),
+                Action::Release(upto) => self.tell(Event::Released(upto)),
                 Action::Superseded(_) => self.tell(Event::Superseded),
             }
         }
@@ -121,7 +123,7 @@
             header: with_header.then(|| self.header.clone()),
             from,
             tokens: tokens[from.0 as usize..].to_vec(),
-            finish: self.end.filter(|_| self.generation.is_whole()),
+            finish: self.end.filter(|_| self.generation.is_complete()),
         }
     }
 
--- a/crates/gooseberry-router/src/output.rs
+++ b/crates/gooseberry-router/src/output.rs
@@ -2,7 +2,7 @@
 
 use base::prelude::*;
 use bytes::Bytes;
-use journal::record::End;
+use journal::record::FinishReason;
 use serde_json::{Value, json};
 use tokio::sync::mpsc;
 use web::{BodySender, Response, StreamCut, reply};
@@ -32,7 +32,7 @@
         /// The number of tokens.
         length: Offset,
         /// Why it ended.
-        end: End,
+        end: FinishReason,
     },
     /// The output ends here without being whole.
     Failed(CallerError),
@@ -115,7 +115,7 @@
 }
 
 /// A piece of output in the usual shape of completions.
-fn chunk(generation: GenerationId, model: &str, text: &str, end: Option<End>) -> Value {
+fn chunk(generation: GenerationId, model: &str, text: &str, end: Option<FinishReason>) -> Value {
     json!({
         "id": generation,
         "object": "text_completion",
@@ -123,7 +123,7 @@
         "choices": [{
             "index": 0,
             "text": text,
-            "finish_reason": end.map(End::as_str),
+            "finish_reason": end.map(FinishReason::as_str),
         }],
     })
 }
--- a/crates/gooseberry-router/src/shelf.rs
+++ b/crates/gooseberry-router/src/shelf.rs
@@ -5,7 +5,7 @@
 use base::hash::stable;
 use base::prelude::*;
 use journal::record::{Append, Refusal, Snapshot};
-use journal::store::{Copied, Limits, Orphan, Store, Summary};
+use journal::store::{JournalCopy, Limits, Orphan, Store, Summary};
 
 /// The number of parts, each behind a lock of its own.
 const PARTS: usize = 16;
@@ -45,7 +45,7 @@
     /// As there.
     pub fn witness(&self, now: Millis, append: Append) -> Result<Offset, Refusal> {
         let part = self.part(&append.key);
-        lock(part).witness(now, append)
+        lock(part).append_remote(now, append)
     }
 
     /// The requests of which journals are held.
@@ -55,7 +55,7 @@
     }
 
     /// See [`Store::copy`].
-    pub fn copy(&self, key: &RequestKey) -> Option<Copied> {
+    pub fn copy(&self, key: &RequestKey) -> Option<JournalCopy> {
         lock(self.part(key)).copy(key)
     }
 
--- a/crates/gooseberry-router/src/stream.rs
+++ b/crates/gooseberry-router/src/stream.rs
@@ -7,7 +7,7 @@
 use engine::client::{EngineError, Frames};
 use engine::wire::{Finish, Frame, Generate, RefusalKind, StreamName};
 use generation::{Event, OpenError, StreamError};
-use journal::record::End;
+use journal::record::FinishReason;
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 use tokio_util::sync::CancellationToken;
@@ -36,7 +36,7 @@
     /// The life of the engine, with [`Event::Opened`].
     pub incarnation: Option<Incarnation>,
     /// Why the output ended, with [`Event::Ended`].
-    pub end: Option<End>,
+    pub end: Option<FinishReason>,
 }
 
 /// One connection to an engine.
@@ -129,8 +129,8 @@
             Ok(Some(Frame::End { length, finish })) => {
                 let mut news = self.news(Event::Ended { attempt, length });
                 news.end = Some(match finish {
-                    Finish::Stop => End::Stop,
-                    Finish::Length => End::Length,
+                    Finish::Stop => FinishReason::Stop,
+                    Finish::Length => FinishReason::Length,
                 });
                 (news, true)
             }
--- a/crates/gooseberry-router/src/takeover.rs
+++ b/crates/gooseberry-router/src/takeover.rs
@@ -7,7 +7,7 @@
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
 use journal::choice;
-use journal::record::{Header, Link, Refusal, Snapshot};
+use journal::record::{Header, Refusal, Segment, Snapshot};
 use peer::agent::HostView;
 
 use crate::caller::Reached;
@@ -30,7 +30,7 @@
     /// The tokens so far.
     pub tokens: Vec<Token>,
     /// Why the sequence is whole, if it is.
-    pub finish: Option<journal::record::End>,
+    pub finish: Option<journal::record::FinishReason>,
     /// The tokens that the caller has.
     pub delivered: Offset,
     /// Whether the caller must drop what it has.
@@ -49,7 +49,7 @@
 
 /// A new generation under `epoch`.
 pub fn fresh(epoch: Epoch, digest: u64) -> Claimed {
-    let link = Link {
+    let link = Segment {
         generation: GenerationId(rand::random()),
         start: Offset(0),
     };
@@ -168,7 +168,7 @@
 /// Continues the best journal, if the caller's place is in it.
 fn build(found: Found, epoch: Epoch, digest: u64, reached: Option<Reached>) -> Claimed {
     let is_complete = found.is_complete;
-    let Some(best) = choice::best(found.snapshots) else {
+    let Some(best) = choice::latest(found.snapshots) else {
         return Claimed {
             is_restart: reached.is_some(),
             ..fresh(epoch, digest)
@@ -186,7 +186,7 @@
     if !is_complete && best.finish.is_none() {
         // A host that gave no answer may be witness to an owner that goes on; what it writes from
         // here on must be told from what this router writes.
-        header.lineage.push(Link {
+        header.lineage.push(Segment {
             generation: GenerationId(rand::random()),
             start: length,
         });
--- a/crates/journal/src/choice.rs
+++ b/crates/journal/src/choice.rs
@@ -27,7 +27,7 @@
 ///
 /// One more of each group than an owner uses: the owner leaves itself out of its candidates and the
 /// asking router leaves itself out, so that a witness may stand one place lower here.
-pub fn holders(key: &RequestKey, peers: &[Peer]) -> Vec<HostId> {
+pub fn takeover_hosts(key: &RequestKey, peers: &[Peer]) -> Vec<HostId> {
     first(key, peers, CANDIDATES + 1)
 }
 
@@ -51,7 +51,7 @@
 }
 
 /// The journal from which a takeover continues: the longest of the highest epoch.
-pub fn best(snapshots: Vec<crate::record::Snapshot>) -> Option<crate::record::Snapshot> {
+pub fn latest(snapshots: Vec<crate::record::Snapshot>) -> Option<crate::record::Snapshot> {
     snapshots
         .into_iter()
         .max_by_key(|s| (s.epoch, s.tokens.len()))
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -5,5 +5,5 @@
 
 pub mod choice;
 pub mod record;
-pub mod replica;
+pub mod replicator;
 pub mod store;
--- a/crates/journal/src/record.rs
+++ b/crates/journal/src/record.rs
@@ -16,7 +16,7 @@
     /// # Invariants
     ///
     /// Not empty once a generation runs; offsets never fall.
-    pub lineage: Vec<Link>,
+    pub lineage: Vec<Segment>,
     /// The model, version and adapter that produced the tokens.
     pub model: Model,
     /// The engine stream last in use, if any.
@@ -28,22 +28,22 @@
     pub fn generation(&self) -> GenerationId {
         self.lineage
             .last()
-            .map_or_else(GenerationId::default, |l| l.generation)
+            .map_or_else(GenerationId::default, |s| s.generation)
     }
 
     /// Whether a caller that holds `offset` tokens of `generation` holds a prefix of a sequence
     /// of `length` tokens under this header.
     pub fn covers(&self, generation: GenerationId, offset: Offset, length: Offset) -> bool {
-        let place = self.lineage.iter().position(|l| l.generation == generation);
+        let place = self.lineage.iter().position(|s| s.generation == generation);
         let Some(i) = place else { return false };
-        let end = self.lineage.get(i + 1).map_or(length, |l| l.start);
+        let end = self.lineage.get(i + 1).map_or(length, |s| s.start);
         offset <= end
     }
 }
 
 /// One generation of a sequence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Link {
+pub struct Segment {
     /// The generation.
     pub generation: GenerationId,
     /// The offset of its first token.
@@ -77,19 +77,19 @@
     /// The tokens.
     pub tokens: Vec<Token>,
     /// Whether the sequence is whole after these tokens.
-    pub finish: Option<End>,
+    pub finish: Option<FinishReason>,
 }
 
 /// Why a sequence is whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum End {
+pub enum FinishReason {
     /// The model ended it.
     Stop,
     /// It reached the most tokens asked for.
     Length,
 }
 
-impl End {
+impl FinishReason {
     /// The name used in answers to callers.
     pub fn as_str(self) -> &'static str {
         match self {
@@ -129,5 +129,5 @@
     /// The tokens from offset 0.
     pub tokens: Vec<Token>,
     /// Whether the sequence is whole.
-    pub finish: Option<End>,
+    pub finish: Option<FinishReason>,
 }
--- a/crates/journal/src/replica.rs
+++ b/crates/journal/src/replicator.rs
@@ -14,7 +14,8 @@
     /// How long a witness may take to answer before it is replaced, in milliseconds.
     pub ack_ms: u64,
     /// The time between appends when there are no tokens, in milliseconds.
-    pub beat_ms: u64,
+    #[serde(rename = "beat_ms")]
+    pub heartbeat_ms: u64,
     /// How long a witness that failed is left out, in milliseconds.
     pub avoid_ms: u64,
     /// Whether output waits when no witness can be had, or goes on without.
@@ -26,7 +27,7 @@
         Self {
             batch_ms: 0,
             ack_ms: 300,
-            beat_ms: 3_000,
+            heartbeat_ms: 3_000,
             avoid_ms: 5_000,
             required: false,
         }
@@ -48,49 +49,51 @@
         call: u64,
     },
     /// Tokens before this offset may be delivered.
-    Advance(Offset),
+    Release(Offset),
     /// Another router owns the request now.
     Superseded(Epoch),
 }
 
 /// An append that has not been answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-struct Pending {
+struct PendingAppend {
     call: u64,
     sent: Millis,
 }
 
 /// A host that failed as a witness.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-struct Avoided {
+struct FailedHost {
     host: HostId,
     until: Millis,
 }
 
 /// The state of the journal of one request at its owner.
 #[derive(Clone, Debug, Serialize)]
-pub struct Replica {
+pub struct Replicator {
     policy: Policy,
     candidates: Vec<HostId>,
     witness: Option<HostId>,
-    avoided: Vec<Avoided>,
-    pending: Option<Pending>,
+    avoided: Vec<FailedHost>,
+    pending: Option<PendingAppend>,
     calls: u64,
     length: Offset,
     finished: bool,
     /// The tokens that the current witness holds.
     acked: Offset,
     /// Whether the current witness has the last header and finish.
-    is_current: bool,
+    #[serde(rename = "is_current")]
+    header_sent: bool,
     /// When the oldest change that the witness does not have was made.
-    dirty: Option<Millis>,
+    #[serde(rename = "dirty")]
+    dirty_since: Option<Millis>,
     /// The tokens that may be delivered.
     released: Offset,
     last_ack: Millis,
     switches: u64,
 }
 
-impl Replica {
+impl Replicator {
     /// A replica without tokens, to be kept at the first of `candidates` that answers.
     pub fn new(now: Millis, policy: Policy, candidates: Vec<HostId>) -> Self {
         Self {
@@ -103,8 +106,8 @@
             length: Offset(0),
             finished: false,
             acked: Offset(0),
-            is_current: false,
-            dirty: None,
+            header_sent: false,
+            dirty_since: None,
             released: Offset(0),
             last_ack: now,
             switches: 0,
@@ -122,7 +125,7 @@
             self.witness = None;
             self.pending = None;
         }
-        self.advance(now, out);
+        self.send_due(now, out);
     }
 
     /// The sequence has grown to `length` tokens.
@@ -130,21 +133,21 @@
         self.length = length;
         if finished && !self.finished {
             self.finished = true;
-            self.is_current = false;
+            self.header_sent = false;
         }
-        self.dirty = self.dirty.or(Some(now));
-        self.advance(now, out);
+        self.dirty_since = self.dirty_since.or(Some(now));
+        self.send_due(now, out);
     }
 
     /// The header has changed.
-    pub fn touch(&mut self, now: Millis, out: &mut Vec<Action>) {
-        self.is_current = false;
-        self.dirty = self.dirty.or(Some(now));
-        self.advance(now, out);
+    pub fn header_changed(&mut self, now: Millis, out: &mut Vec<Action>) {
+        self.header_sent = false;
+        self.dirty_since = self.dirty_since.or(Some(now));
+        self.send_due(now, out);
     }
 
     /// The witness holds the tokens before `held`.
-    pub fn acked(&mut self, now: Millis, call: u64, held: Offset, out: &mut Vec<Action>) {
+    pub fn on_ack(&mut self, now: Millis, call: u64, held: Offset, out: &mut Vec<Action>) {
         if self.pending.is_none_or(|p| p.call != call) {
             return;
         }
@@ -152,11 +155,11 @@
         self.last_ack = now;
         self.acked = held;
         self.release(held, out);
-        self.advance(now, out);
+        self.send_due(now, out);
     }
 
     /// The witness does not take the append.
-    pub fn refused(&mut self, now: Millis, call: u64, refusal: Refusal, out: &mut Vec<Action>) {
+    pub fn on_refused(&mut self, now: Millis, call: u64, refusal: Refusal, out: &mut Vec<Action>) {
         if let Refusal::Sealed(epoch) = refusal {
             out.push(Action::Superseded(epoch));
             return;
@@ -167,19 +170,19 @@
         self.pending = None;
         if let Refusal::Gap(held) = refusal {
             self.acked = held;
-            self.is_current = false;
-            self.dirty = Some(now);
+            self.header_sent = false;
+            self.dirty_since = Some(now);
         } else {
-            self.replace(now);
+            self.drop_witness(now);
         }
-        self.advance(now, out);
+        self.send_due(now, out);
     }
 
     /// The append failed on the way.
-    pub fn failed(&mut self, now: Millis, call: u64, out: &mut Vec<Action>) {
+    pub fn on_failed(&mut self, now: Millis, call: u64, out: &mut Vec<Action>) {
         if self.pending.is_some_and(|p| p.call == call) {
-            self.replace(now);
-            self.advance(now, out);
+            self.drop_witness(now);
+            self.send_due(now, out);
         }
     }
 
@@ -188,37 +191,37 @@
         if let Some(p) = self.pending
             && now.since(p.sent).0 >= self.policy.ack_ms
         {
-            self.replace(now);
+            self.drop_witness(now);
         }
-        self.advance(now, out);
+        self.send_due(now, out);
     }
 
     /// Asks the witness for a fresh answer, whether or not there is anything to send.
     pub fn verify(&mut self, now: Millis, out: &mut Vec<Action>) {
         self.pending = None;
-        self.is_current = false;
-        self.dirty = Some(now);
-        self.advance(now, out);
+        self.header_sent = false;
+        self.dirty_since = Some(now);
+        self.send_due(now, out);
     }
 
     /// When [`Self::tick`] is next needed.
-    pub fn wake(&self, now: Millis) -> Millis {
+    pub fn wake_at(&self, now: Millis) -> Millis {
         if let Some(p) = self.pending {
             return p.sent + Millis(self.policy.ack_ms);
         }
-        if let Some(dirty) = self.dirty
+        if let Some(dirty) = self.dirty_since
             && self.witness.is_some()
         {
             return (dirty + Millis(self.policy.batch_ms)).max(now + Millis(1));
         }
         if self.witness.is_none() {
-            return now + Millis(self.policy.avoid_ms.min(self.policy.beat_ms));
+            return now + Millis(self.policy.avoid_ms.min(self.policy.heartbeat_ms));
         }
-        self.last_ack + Millis(self.policy.beat_ms)
+        self.last_ack + Millis(self.policy.heartbeat_ms)
     }
 
     /// Whether the answer of this append is awaited.
-    pub fn expects(&self, call: u64) -> bool {
+    pub fn is_pending(&self, call: u64) -> bool {
         self.pending.is_some_and(|p| p.call == call)
     }
 
@@ -228,12 +231,12 @@
     }
 
     /// Whether the witness holds all that there is.
-    pub fn is_settled(&self) -> bool {
-        self.dirty.is_none() && self.pending.is_none()
+    pub fn is_synced(&self) -> bool {
+        self.dirty_since.is_none() && self.pending.is_none()
     }
 
     /// Leaves the current witness out for a while.
-    fn replace(&mut self, now: Millis) {
+    fn drop_witness(&mut self, now: Millis) {
         self.pending = None;
         let Some(host) = self.witness.take() else {
             return;
@@ -241,13 +244,13 @@
         self.switches += 1;
         self.avoided.retain(|a| a.host != host && a.until > now);
         let until = now + Millis(self.policy.avoid_ms);
-        self.avoided.push(Avoided { host, until });
+        self.avoided.push(FailedHost { host, until });
     }
 
     /// Chooses a witness if there is none, and sends what is due.
-    fn advance(&mut self, now: Millis, out: &mut Vec<Action>) {
+    fn send_due(&mut self, now: Millis, out: &mut Vec<Action>) {
         if self.witness.is_none() {
-            self.choose(now);
+            self.choose_witness(now);
         }
         let Some(host) = self.witness.clone() else {
             if !self.policy.required {
@@ -259,38 +262,38 @@
             return;
         }
         self.calls += 1;
-        self.pending = Some(Pending {
+        self.pending = Some(PendingAppend {
             call: self.calls,
             sent: now,
         });
         out.push(Action::Send {
             host,
             from: self.acked,
-            with_header: !self.is_current,
+            with_header: !self.header_sent,
             call: self.calls,
         });
-        self.is_current = true;
+        self.header_sent = true;
         // What is sent now is no longer outstanding; changes from here on are.
-        self.dirty = None;
+        self.dirty_since = None;
     }
 
     /// Whether there is something to send, or the witness must hear of the owner.
     fn is_due(&self, now: Millis) -> bool {
-        match self.dirty {
+        match self.dirty_since {
             Some(dirty) => now.since(dirty).0 >= self.policy.batch_ms,
-            None => now.since(self.last_ack).0 >= self.policy.beat_ms,
+            None => now.since(self.last_ack).0 >= self.policy.heartbeat_ms,
         }
     }
 
     /// Takes the first candidate that has not failed lately.
-    fn choose(&mut self, now: Millis) {
+    fn choose_witness(&mut self, now: Millis) {
         self.avoided.retain(|a| a.until > now);
         let usable = |h: &&HostId| !self.avoided.iter().any(|a| a.host == **h);
         self.witness = self.candidates.iter().find(usable).cloned();
         if self.witness.is_some() {
             self.acked = Offset(0);
-            self.is_current = false;
-            self.dirty = Some(now - Millis(self.policy.batch_ms));
+            self.header_sent = false;
+            self.dirty_since = Some(now - Millis(self.policy.batch_ms));
         }
     }
 
@@ -298,7 +301,7 @@
     fn release(&mut self, upto: Offset, out: &mut Vec<Action>) {
         if upto > self.released {
             self.released = upto;
-            out.push(Action::Advance(upto));
+            out.push(Action::Release(upto));
         }
     }
 }
--- a/crates/journal/src/store.rs
+++ b/crates/journal/src/store.rs
@@ -4,7 +4,7 @@
 use base::sorted::Sorted;
 use serde::{Deserialize, Serialize};
 
-use crate::record::{Append, End, Header, Refusal, Snapshot, StreamRef};
+use crate::record::{Append, FinishReason, Header, Refusal, Snapshot, StreamRef};
 
 /// Bounds on what a host holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -35,7 +35,7 @@
 
 /// One journal.
 #[derive(Clone, Debug, Default, Serialize)]
-struct Entry {
+struct Journal {
     /// Appends below this ownership are refused.
     fence: Epoch,
     /// The ownership under which the last append was made.
@@ -43,11 +43,12 @@
     header: Header,
     tokens: Vec<Token>,
     bytes: usize,
-    finish: Option<End>,
+    finish: Option<FinishReason>,
     /// Whether the caller has the whole answer.
     closed: bool,
     /// When the journal was last written or sealed.
-    touched: Millis,
+    #[serde(rename = "touched")]
+    last_used: Millis,
 }
 
 /// An engine stream whose owner has not been heard of.
@@ -78,7 +79,7 @@
 
 /// A journal on its way to another host.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Copied {
+pub struct JournalCopy {
     /// The whole journal, as one append under its epoch.
     pub append: Append,
     /// The ownership below which appends are refused, if that is higher than the journal's own.
@@ -91,9 +92,9 @@
 #[derive(Debug, Default)]
 pub struct Store {
     limits: Limits,
-    entries: Sorted<RequestKey, Entry>,
+    journals: Sorted<RequestKey, Journal>,
     bytes: usize,
-    leaving: bool,
+    is_leaving: bool,
 }
 
 impl Store {
@@ -114,50 +115,50 @@
     /// `Sealed` under a lower epoch than the fence, `Gap` if tokens are missing before these,
     /// `Full` and `Leaving` if the host takes no more.
     pub fn append(&mut self, now: Millis, append: Append) -> Result<Offset, Refusal> {
-        self.make_room(&append);
-        let known = self.entries.get(&append.key);
-        if let Some(entry) = known
-            && append.epoch < entry.fence
+        self.evict_closed(&append);
+        let known = self.journals.get(&append.key);
+        if let Some(journal) = known
+            && append.epoch < journal.fence
         {
-            return Err(Refusal::Sealed(entry.fence));
+            return Err(Refusal::Sealed(journal.fence));
         }
-        let is_new = known.is_none_or(|e| e.epoch != append.epoch);
-        if is_new && self.leaving {
+        let is_new = known.is_none_or(|j| j.epoch != append.epoch);
+        if is_new && self.is_leaving {
             return Err(Refusal::Leaving);
         }
-        let held = known.filter(|_| !is_new).map_or(0, |e| e.tokens.len());
+        let held = known.filter(|_| !is_new).map_or(0, |j| j.tokens.len());
         // A copy that another host has handed over may be older than what is held.
-        let is_old = append.from.0 + (append.tokens.len() as u64) < held as u64;
+        let is_stale = append.from.0 + (append.tokens.len() as u64) < held as u64;
         if append.from.0 > held as u64 {
             return Err(Refusal::Gap(Offset(held as u64)));
         }
         let repeated = held - append.from.0 as usize;
         let added: usize = append.tokens.iter().skip(repeated).map(Token::size).sum();
-        if known.is_none() && self.entries.len() >= self.limits.count {
+        if known.is_none() && self.journals.len() >= self.limits.count {
             return Err(Refusal::Full);
         }
         if self.bytes + added > self.limits.bytes {
             return Err(Refusal::Full);
         }
-        let entry = self.entries.entry(append.key, Entry::default);
+        let journal = self.journals.entry(append.key, Journal::default);
         if is_new {
             // A new owner writes its journal from the start; the old one must not show through.
-            self.bytes -= entry.bytes;
-            *entry = Entry::default();
+            self.bytes -= journal.bytes;
+            *journal = Journal::default();
         }
-        entry.fence = append.epoch;
-        entry.epoch = append.epoch;
-        entry.touched = now;
-        if let Some(header) = append.header.filter(|_| !is_old) {
-            entry.header = header;
+        journal.fence = append.epoch;
+        journal.epoch = append.epoch;
+        journal.last_used = now;
+        if let Some(header) = append.header.filter(|_| !is_stale) {
+            journal.header = header;
         }
-        entry
+        journal
             .tokens
             .extend(append.tokens.into_iter().skip(repeated));
-        entry.bytes += added;
+        journal.bytes += added;
         self.bytes += added;
-        entry.finish = entry.finish.or(append.finish);
-        Ok(Offset(entry.tokens.len() as u64))
+        journal.finish = journal.finish.or(append.finish);
+        Ok(Offset(journal.tokens.len() as u64))
     }
 
     /// Adds tokens of another host's request.
@@ -166,9 +167,9 @@
     ///
     /// As [`Self::append`]; `Leaving` for any append once the host leaves, so that the owner
     /// chooses another witness while this one can still be asked.
-    pub fn witness(&mut self, now: Millis, append: Append) -> Result<Offset, Refusal> {
+    pub fn append_remote(&mut self, now: Millis, append: Append) -> Result<Offset, Refusal> {
         let fence = self.fence(&append.key).unwrap_or_default();
-        if self.leaving && append.epoch >= fence {
+        if self.is_leaving && append.epoch >= fence {
             return Err(Refusal::Leaving);
         }
         self.append(now, append)
@@ -176,26 +177,26 @@
 
     /// The requests of which journals are held.
     pub fn keys(&self) -> impl Iterator<Item = &RequestKey> {
-        self.entries.iter().map(|(key, _)| key)
+        self.journals.iter().map(|(key, _)| key)
     }
 
     /// A journal for another host to hold; `None` if there is nothing to hand over.
-    pub fn copy(&self, key: &RequestKey) -> Option<Copied> {
-        let entry = self.entries.get(key)?;
-        if entry.header.lineage.is_empty() {
+    pub fn copy(&self, key: &RequestKey) -> Option<JournalCopy> {
+        let journal = self.journals.get(key)?;
+        if journal.header.lineage.is_empty() {
             return None;
         }
         let append = Append {
             key: key.clone(),
-            epoch: entry.epoch,
-            header: Some(entry.header.clone()),
+            epoch: journal.epoch,
+            header: Some(journal.header.clone()),
             from: Offset(0),
-            tokens: entry.tokens.clone(),
-            finish: entry.finish,
+            tokens: journal.tokens.clone(),
+            finish: journal.finish,
         };
-        let seal = (entry.fence > entry.epoch).then_some(entry.fence);
-        let closed = entry.closed;
-        Some(Copied {
+        let seal = (journal.fence > journal.epoch).then_some(journal.fence);
+        let closed = journal.closed;
+        Some(JournalCopy {
             append,
             seal,
             closed,
@@ -204,19 +205,19 @@
 
     /// Drops journals whose callers have their whole answer, the oldest first, as far as `append`
     /// needs their room.
-    fn make_room(&mut self, append: &Append) {
-        let is_new = self.entries.get(&append.key).is_none();
+    fn evict_closed(&mut self, append: &Append) {
+        let is_new = self.journals.get(&append.key).is_none();
         let added: usize = append.tokens.iter().map(Token::size).sum();
         while self.bytes + added > self.limits.bytes
-            || (is_new && self.entries.len() >= self.limits.count)
+            || (is_new && self.journals.len() >= self.limits.count)
         {
-            let closed = self.entries.iter().filter(|(_, e)| e.closed);
-            let oldest = closed.min_by_key(|(_, e)| e.touched);
+            let closed = self.journals.iter().filter(|(_, j)| j.closed);
+            let oldest = closed.min_by_key(|(_, j)| j.last_used);
             let Some(key) = oldest.map(|(key, _)| key.clone()) else {
                 return;
             };
-            let dropped = self.entries.remove(&key);
-            self.bytes -= dropped.map_or(0, |e| e.bytes);
+            let dropped = self.journals.remove(&key);
+            self.bytes -= dropped.map_or(0, |j| j.bytes);
         }
     }
 
@@ -235,39 +236,39 @@
         epoch: Epoch,
         digest: u64,
     ) -> Result<Option<Snapshot>, Refusal> {
-        let entry = self.entries.entry(key.clone(), Entry::default);
-        let has_journal = !entry.header.lineage.is_empty();
-        if has_journal && entry.header.digest != digest {
+        let journal = self.journals.entry(key.clone(), Journal::default);
+        let has_journal = !journal.header.lineage.is_empty();
+        if has_journal && journal.header.digest != digest {
             return Err(Refusal::OtherRequest);
         }
-        if epoch < entry.fence || (has_journal && epoch <= entry.epoch) {
-            return Err(Refusal::Sealed(entry.fence));
+        if epoch < journal.fence || (has_journal && epoch <= journal.epoch) {
+            return Err(Refusal::Sealed(journal.fence));
         }
-        entry.fence = epoch;
-        entry.touched = now;
+        journal.fence = epoch;
+        journal.last_used = now;
         if !has_journal {
             return Ok(None);
         }
         Ok(Some(Snapshot {
-            epoch: entry.epoch,
-            header: entry.header.clone(),
-            tokens: entry.tokens.clone(),
-            finish: entry.finish,
+            epoch: journal.epoch,
+            header: journal.header.clone(),
+            tokens: journal.tokens.clone(),
+            finish: journal.finish,
         }))
     }
 
     /// The ownership below which appends to `key` are refused.
     pub fn fence(&self, key: &RequestKey) -> Option<Epoch> {
-        self.entries.get(key).map(|e| e.fence)
+        self.journals.get(key).map(|j| j.fence)
     }
 
     /// Marks a journal whose caller has the whole answer.
     pub fn close(&mut self, now: Millis, key: &RequestKey, epoch: Epoch) {
-        if let Some(entry) = self.entries.get_mut(key)
-            && entry.epoch == epoch
+        if let Some(journal) = self.journals.get_mut(key)
+            && journal.epoch == epoch
         {
-            entry.closed = true;
-            entry.touched = now;
+            journal.closed = true;
+            journal.last_used = now;
         }
     }
 
@@ -276,20 +277,20 @@
         let limits = self.limits;
         let mut orphans = Vec::new();
         let mut freed = 0;
-        self.entries.retain(|key, entry| {
-            let sealed = entry.fence > entry.epoch;
-            let ended = entry.closed || entry.finish.is_some();
-            let limit = if sealed || ended {
+        self.journals.retain(|key, journal| {
+            let is_sealed = journal.fence > journal.epoch;
+            let has_ended = journal.closed || journal.finish.is_some();
+            let limit = if is_sealed || has_ended {
                 limits.retain_ms
             } else {
                 limits.idle_ms
             };
-            if now.since(entry.touched).0 < limit {
+            if now.since(journal.last_used).0 < limit {
                 return true;
             }
-            freed += entry.bytes;
-            if !sealed && !ended {
-                orphans.extend(entry.header.stream.clone().map(|stream| Orphan {
+            freed += journal.bytes;
+            if !is_sealed && !has_ended {
+                orphans.extend(journal.header.stream.clone().map(|stream| Orphan {
                     key: key.clone(),
                     stream,
                 }));
@@ -302,7 +303,7 @@
 
     /// Takes no new journals from now on.
     pub fn leave(&mut self) {
-        self.leaving = true;
+        self.is_leaving = true;
     }
 
     /// The bytes of tokens held.
@@ -312,23 +313,23 @@
 
     /// How many journals are held.
     pub fn len(&self) -> usize {
-        self.entries.len()
+        self.journals.len()
     }
 
     /// Whether no journal is held.
     pub fn is_empty(&self) -> bool {
-        self.entries.is_empty()
+        self.journals.is_empty()
     }
 
     /// The journals, for a state dump.
     pub fn summaries(&self) -> impl Iterator<Item = Summary> {
-        self.entries.iter().map(|(key, e)| Summary {
+        self.journals.iter().map(|(key, j)| Summary {
             key: key.clone(),
-            fence: e.fence,
-            generation: e.header.generation(),
-            length: e.tokens.len() as u64,
-            finished: e.finish.is_some(),
-            stream: e.header.stream.as_ref().map(|s| s.name.clone()),
+            fence: j.fence,
+            generation: j.header.generation(),
+            length: j.tokens.len() as u64,
+            finished: j.finish.is_some(),
+            stream: j.header.stream.as_ref().map(|s| s.name.clone()),
         })
     }
 }
--- a/crates/journal/tests/fault_regressions.rs
+++ b/crates/journal/tests/fault_regressions.rs
@@ -1,7 +1,7 @@
 //! Journals under pressure for room, as experiments with real processes bring it about.
 
 use base::prelude::*;
-use journal::record::{Append, Header, Link, Refusal};
+use journal::record::{Append, Header, Refusal, Segment};
 use journal::store::{Limits, Store};
 
 fn epoch() -> Epoch {
@@ -9,7 +9,7 @@
 }
 
 fn append(key: &str) -> Append {
-    let link = Link {
+    let link = Segment {
         generation: GenerationId(1),
         start: Offset(0),
     };
--- a/crates/journal/tests/scripts/replica.rs
+++ b/crates/journal/tests/scripts/replica.rs
@@ -3,14 +3,14 @@
 use base::prelude::*;
 use datadriven::TestCase;
 use journal::record::Refusal;
-use journal::replica::{Action, Policy, Replica};
+use journal::replicator::{Action, Policy, Replicator};
 
 use super::{epoch, now, number, text};
 
 /// The replica under test.
 #[derive(Default)]
 pub(crate) struct ReplicaScript {
-    replica: Option<Replica>,
+    replica: Option<Replicator>,
 }
 
 impl ReplicaScript {
@@ -25,7 +25,7 @@
                 required: case.args.contains_key("required"),
                 ..Policy::default()
             };
-            self.replica = Some(Replica::new(now, policy, hosts(case)));
+            self.replica = Some(Replicator::new(now, policy, hosts(case)));
             return String::new();
         }
         let replica = self.replica.as_mut().expect("`new` comes first");
@@ -35,17 +35,17 @@
                 let is_whole = case.args.contains_key("whole");
                 replica.grow(now, length, is_whole, &mut out);
             }
-            "touch" => replica.touch(now, &mut out),
+            "touch" => replica.header_changed(now, &mut out),
             "verify" => replica.verify(now, &mut out),
             "ack" => {
                 let held = Offset(number(case, "held").expect("`held=` is given"));
-                replica.acked(now, call, held, &mut out);
+                replica.on_ack(now, call, held, &mut out);
             }
-            "refuse" => replica.refused(now, call, refusal(case), &mut out),
-            "fail" => replica.failed(now, call, &mut out),
+            "refuse" => replica.on_refused(now, call, refusal(case), &mut out),
+            "fail" => replica.on_failed(now, call, &mut out),
             "hosts" => replica.set_candidates(now, hosts(case), &mut out),
             "tick" => replica.tick(now, &mut out),
-            "wake" => return format!("{}\n", replica.wake(now)),
+            "wake" => return format!("{}\n", replica.wake_at(now)),
             other => panic!("there is no command `{other}`"),
         }
         out.iter().map(line).collect()
@@ -63,7 +63,7 @@
             let header = if *with_header { " header" } else { "" };
             format!("send {host} from={from} call={call}{header}\n")
         }
-        Action::Advance(upto) => format!("advance {upto}\n"),
+        Action::Release(upto) => format!("advance {upto}\n"),
         Action::Superseded(epoch) => format!("superseded by {epoch}\n"),
     }
 }
--- a/crates/journal/tests/scripts/store.rs
+++ b/crates/journal/tests/scripts/store.rs
@@ -2,7 +2,7 @@
 
 use base::prelude::*;
 use datadriven::TestCase;
-use journal::record::{Append, End, Header, Link, Refusal, StreamRef};
+use journal::record::{Append, FinishReason, Header, Refusal, Segment, StreamRef};
 use journal::store::{Limits, Store};
 
 use super::{epoch, now, number, text};
@@ -96,7 +96,7 @@
     let from = number(case, "from").unwrap_or(0);
     let header = number(case, "generation").map(|n| Header {
         digest: 0,
-        lineage: vec![Link {
+        lineage: vec![Segment {
             generation: GenerationId(n),
             start: Offset(0),
         }],
@@ -114,6 +114,9 @@
         header,
         from: Offset(from),
         tokens: (from..from + count).map(token).collect(),
-        finish: case.args.contains_key("whole").then_some(End::Stop),
+        finish: case
+            .args
+            .contains_key("whole")
+            .then_some(FinishReason::Stop),
     }
 }
--- a/crates/journal/tests/take_over.rs
+++ b/crates/journal/tests/take_over.rs
@@ -1,8 +1,8 @@
 //! Which journal a takeover continues, and whether the caller's place is in it.
 
 use base::prelude::*;
-use journal::choice::{Peer, best, candidates, holders};
-use journal::record::{Header, Link, Snapshot};
+use journal::choice::{Peer, candidates, latest, takeover_hosts};
+use journal::record::{Header, Segment, Snapshot};
 
 fn snapshot(round: u64, tokens: usize) -> Snapshot {
     let token = Token {
@@ -20,7 +20,7 @@
 }
 
 fn lineage(links: &[(u64, u64)]) -> Header {
-    let link = |(generation, start): &(u64, u64)| Link {
+    let link = |(generation, start): &(u64, u64)| Segment {
         generation: GenerationId(*generation),
         start: Offset(*start),
     };
@@ -32,7 +32,7 @@
 
 #[test]
 fn highest_epoch() {
-    let taken = best(vec![snapshot(1, 9), snapshot(2, 4), snapshot(2, 5)]);
+    let taken = latest(vec![snapshot(1, 9), snapshot(2, 4), snapshot(2, 5)]);
     let taken = taken.map(|s| (s.epoch.round, s.tokens.len()));
     assert_eq!(taken, Some((2, 5)));
 }
@@ -66,7 +66,7 @@
     };
     for owner in 0..30 {
         for taker in 0..30 {
-            let asked = holders(&key, &peers_of(taker));
+            let asked = takeover_hosts(&key, &peers_of(taker));
             for witness in candidates(&key, &peers_of(owner)) {
                 let found = witness == host(taker) || asked.contains(&witness);
                 assert!(found, "{witness} of owner {owner} unknown to {taker}");
--- a/crates/profiles/src/document.rs
+++ b/crates/profiles/src/document.rs
@@ -3,7 +3,7 @@
 use balance::Rule;
 use base::prelude::*;
 use generation::Policy as Resume;
-use journal::replica::Policy as Witness;
+use journal::replicator::Policy as Witness;
 use serde::{Deserialize, Serialize};
 use strum::{Display, EnumString, IntoStaticStr};
 
