--- a/crates/generation/src/event.rs
+++ b/crates/generation/src/event.rs
@@ -1,16 +1,16 @@
-//! What a generation is told and what it asks for.
+//! Input events and output actions of the state machine.
 
 use base::prelude::*;
 use thiserror::Error;
 
-/// What has happened.
+/// An input to [`Generation::on_event`](crate::Generation::on_event).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// An engine accepted the stream of an attempt, or its resumption.
     Opened {
         /// The attempt.
         attempt: Attempt,
-        /// The offset of the first token that follows.
+        /// The offset of the first token that the engine will send.
         offset: Offset,
     },
     /// An attempt could not be opened.
@@ -20,20 +20,20 @@
         /// The cause.
         cause: OpenError,
     },
-    /// A token came.
+    /// A token was received.
     Token {
         /// The attempt.
         attempt: Attempt,
-        /// The position of the token.
+        /// The offset of the token in the output.
         offset: Offset,
         /// The token.
         token: Token,
     },
-    /// An engine says that the output is whole.
+    /// An engine reported the end of the output.
     Ended {
         /// The attempt.
         attempt: Attempt,
-        /// The number of tokens.
+        /// The number of tokens in the complete output.
         length: u64,
     },
     /// A stream that was open failed.
@@ -43,128 +43,134 @@
         /// The cause.
         cause: StreamError,
     },
-    /// Tokens before this offset may be delivered.
+    /// Tokens before this offset may be delivered: the witness holds them, or output continues
+    /// without one.
     Released(Offset),
     /// Ownership was confirmed after [`Action::Verify`].
     Verified,
-    /// Another router owns the request now.
+    /// Another router has taken the request over.
     Superseded,
-    /// The caller's connection is gone.
+    /// The caller's connection has closed.
     CallerDisconnected,
-    /// Whether tokens are being read from the engines; false while the caller is too slow.
+    /// Reading from the engines was paused (`false`) because the caller is too slow, or resumed
+    /// (`true`).
     Reading(bool),
-    /// The time by which the first token was of use is over.
+    /// The deadline for the first token has passed.
     DeadlineExpired,
-    /// Time has passed.
+    /// Time has passed; due at [`Generation::wake_at`](crate::Generation::wake_at).
     Tick,
 }
 
 /// Why an attempt could not be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OpenError {
-    /// No backend server can be chosen now.
+    /// No backend server is eligible at the moment.
     NoBackend,
-    /// The backend server is not reachable or gave no answer in time.
+    /// The backend server is unreachable or did not answer within the time limit.
     Unreachable,
-    /// The backend server has no room or is not ready.
+    /// The backend server has no free capacity or is not ready.
     Busy,
     /// No backend server has the model version.
     ModelGone,
-    /// The backend server says that the request is malformed.
+    /// The backend server rejected the request as malformed.
     Invalid,
-    /// The engine doesn't know the stream that was to be resumed.
+    /// The engine does not know the stream to resume, for example after a restart.
     NoStream,
 }
 
 /// Why a stream that was open failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamError {
-    /// The connection closed before the last frame.
+    /// The connection closed before the end frame.
     Closed,
-    /// Frames make no sense.
+    /// A frame could not be read or decoded.
     Garbled,
 }
 
-/// What the owner has to do.
+/// An output of the state machine, to be carried out by the router.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Choose a backend server and start a stream there after the tokens so far.
+    /// Choose a backend server and start a stream there that continues after the tokens so far.
     Open {
         /// The attempt.
         attempt: Attempt,
-        /// The attempts whose backend servers are to be left out.
+        /// Attempts whose backend servers must not be chosen.
         avoid: Vec<Attempt>,
-        /// Whether the attempt runs beside another one that is only suspected.
+        /// Whether another stream, which is only suspected, stays open.
         is_hedge: bool,
     },
-    /// Read the stream of an attempt from an offset over a new connection; close the old one.
+    /// Close the connection of an attempt and resume its stream over a new one.
     Reattach {
         /// The attempt.
         attempt: Attempt,
-        /// The next offset.
+        /// The offset from which to read.
         from: Offset,
     },
-    /// Close the connection of an attempt and end its stream on the engine.
+    /// Close the connection of an attempt and cancel its stream on the engine.
     Cancel(Attempt),
-    /// Close the connection of an attempt and leave its stream to another router.
+    /// Close the connection of an attempt but let its stream run, for the router that took over.
     Detach(Attempt),
-    /// The attempt whose tokens count has changed.
+    /// Record this attempt's stream as the one that a takeover resumes.
     SetCurrent(Attempt),
     /// Write the tokens before this offset to the journal.
     Journal {
         /// The number of tokens.
         length: Offset,
-        /// Whether they are the whole output.
+        /// Whether they are the complete output.
         finished: bool,
     },
-    /// Confirm ownership with the witness, then tell [`Event::Verified`].
+    /// Confirm ownership with the witness, then send [`Event::Verified`].
     Verify,
-    /// Write the tokens from one offset to another to the caller.
+    /// Write the tokens `from..to` to the caller.
     Deliver {
-        /// The first.
+        /// The offset of the first token.
         from: Offset,
-        /// The offset after the last.
+        /// The offset after the last token.
         to: Offset,
     },
     /// Write a keep-alive to the caller.
     KeepAlive,
-    /// Output goes on after a loss.
+    /// Output continued after an interruption; for metrics.
     Recovered {
-        /// The time from the last token before the loss, in milliseconds.
+        /// The time since the last token before the interruption, or since the takeover, in
+        /// milliseconds.
         silence_ms: u64,
-        /// Whether the same engine stream goes on over a new connection.
+        /// Whether the interrupted engine stream itself continued, rather than another attempt.
         same_stream: bool,
     },
-    /// Begin a new generation from the first token and tell the caller.
+    /// Begin a new generation from the first token and notify the caller, which discards its
+    /// tokens.
     Restart,
-    /// The caller has the whole output.
+    /// The complete output was delivered; end the response.
     Finish,
-    /// The request ends without the whole output; the caller is told why if it is there.
+    /// End the request before the output is complete; a caller that is connected receives the
+    /// error.
     Fail(Failure),
 }
 
-/// Why a request ends without the whole output.
+/// Why a request ends before its output is complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Failure {
-    /// No new token for too long.
+    /// No token within [`Policy::stall_ms`](crate::Policy::stall_ms).
     #[error("no backend server continued the output in time; repeat the request with its key")]
     Stalled,
-    /// Too many engine streams were started.
-    #[error("the output was lost too many times; repeat the request with its key later")]
+    /// [`Policy::attempts`](crate::Policy::attempts) engine streams were opened, and the last
+    /// failed.
+    #[error("the output was interrupted too many times; repeat the request with its key later")]
     Attempts,
-    /// No first token in time.
+    /// No token before the deadline for the first one.
     #[error("no output began within the deadline; repeat the request later")]
     Late,
-    /// The model version is gone.
-    #[error("the model version that began the output is gone; send the request under a new key")]
+    /// No backend server has the model version that produced the tokens so far.
+    #[error("the output's model version is no longer available; send the request under a new key")]
     ModelGone,
-    /// The request is malformed in the eyes of the engine.
-    #[error("the engine refused the request as malformed; correct it")]
+    /// The engine rejected the request as malformed.
+    #[error("the engine rejected the request as malformed; correct the request")]
     Invalid,
-    /// Another router owns the request.
+    /// Another router has taken the request over.
     #[error("the request was repeated on another connection, where the output goes on")]
     Superseded,
-    /// The caller went away and did not come back.
-    #[error("the caller went away; the output was given up")]
+    /// The caller did not reconnect within [`Policy::orphan_ms`](crate::Policy::orphan_ms).
+    #[error("the caller disconnected and did not reconnect; the output was cancelled")]
     Abandoned,
 }
--- a/crates/generation/src/lib.rs
+++ b/crates/generation/src/lib.rs
@@ -1,8 +1,9 @@
-//! The life of one generation at its owner: which engine streams run, which tokens count, what is
-//! delivered when.
+//! State machine of one generation at its owner: opens, probes and resumes engine streams, orders
+//! their tokens and decides when tokens are delivered to the caller.
 //!
-//! Pure: events and the time come in, actions go out. The crate knows nothing of the transport to
-//! engines, witnesses or callers, nor of how a backend server is chosen.
+//! Performs no I/O and reads no clock: takes events and the current time, returns actions. The
+//! transport to engines, witnesses and callers and the choice of a backend server are left to the
+//! router.
 
 pub mod event;
 pub mod gaps;
--- a/crates/generation/src/machine.rs
+++ b/crates/generation/src/machine.rs
@@ -1,4 +1,9 @@
-//! The state machine of one generation.
+//! State machine of one generation.
+//!
+//! Tokens are appended in offset order from at most two engine streams at a time, written to the
+//! journal, and delivered once released, normally by the witness's acknowledgement. A stream that
+//! falls silent or breaks is probed over a new connection; if the probe fails, another attempt
+//! continues after the tokens received so far.
 
 mod attempts;
 
@@ -9,39 +14,41 @@
 use crate::policy::{Mode, Policy};
 use crate::stream::{EngineStream, Stage};
 
-/// The most engine streams that run at once for one generation.
+/// Maximum number of engine streams of one generation at a time: one and its hedge.
 const MAX_STREAMS: usize = 2;
 
-/// The greatest multiple of the retry wait between two retries.
+/// Cap of the exponential backoff between retries, as a multiple of [`Policy::retry_ms`].
 const MAX_BACKOFF_FACTOR: u32 = 8;
 
-/// Counts for metrics and state dumps.
+/// Event counts for metrics and state dumps.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// Tokens dropped because their offset was already taken or their attempt no longer counts.
+    /// Tokens discarded because their offset was filled already, their attempt is no longer active
+    /// or their stream is being resumed.
     pub dropped: u64,
-    /// Offsets that were skipped by an engine and read again.
+    /// Times that an engine skipped offsets, which were then read again over a new connection.
     pub gaps: u64,
-    /// Streams resumed over a new connection.
+    /// Probes: attempts to resume a stream over a new connection.
     pub probes: u64,
-    /// Second attempts started on suspicion.
+    /// Second attempts started while the first one was only suspected.
     pub hedges: u64,
-    /// Suspected streams that went on.
+    /// Recoveries in which the interrupted stream itself continued.
     #[serde(rename = "alarms")]
     pub false_alarms: u64,
-    /// Losses after which output went on.
+    /// Interruptions after which output continued.
     pub recoveries: u64,
-    /// Pauses of the owner itself.
+    /// Pauses of the owner process of at least [`Policy::pause_ms`].
     pub pauses: u64,
 }
 
-/// A loss of output.
+/// An interruption of the output.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 struct Interruption {
-    /// When the last token before it came.
+    /// Arrival time of the last token before it; the time of the takeover for a new owner.
     #[serde(rename = "at")]
     since: Millis,
-    /// The attempt that gave that token.
+    /// The current attempt at that time, or the previous owner's stream if that is resumed; `None`
+    /// without either.
     attempt: Option<Attempt>,
 }
 
@@ -49,8 +56,8 @@
 ///
 /// # Invariants
 ///
-/// `delivered <= released <= tokens.len()`; the tokens never change once taken, except by
-/// [`Action::Restart`], which drops them all.
+/// `delivered <= released <= tokens.len()`. Tokens are only ever appended, except by
+/// [`Action::Restart`], which discards all of them.
 #[derive(Clone, Debug, Serialize)]
 pub struct Generation {
     policy: Policy,
@@ -58,35 +65,37 @@
     tokens: Vec<Token>,
     #[serde(rename = "runs")]
     streams: Vec<EngineStream>,
-    /// The attempt whose tokens were taken last.
+    /// Attempt that produced the last token, or the first attempt that an engine accepted.
     current: Option<Attempt>,
-    /// Attempts that are left out when a backend server is chosen.
+    /// Attempts whose backend servers are excluded when a server is chosen.
     avoid: Vec<Attempt>,
     attempts: Attempt,
     #[serde(rename = "is_whole")]
     is_complete: bool,
     released: Offset,
     delivered: Offset,
-    /// When the next try to open an attempt is due, while none runs.
+    /// When the next attempt is due, while no stream is open.
     retry_at: Option<Millis>,
     #[serde(rename = "tries")]
     retries: u32,
     last_token: Millis,
     last_write: Millis,
     last_event: Millis,
-    /// The loss after which output has not gone on yet.
+    /// The interruption that has not been recovered from.
     #[serde(rename = "loss")]
     interruption: Option<Interruption>,
     #[serde(rename = "gone_at")]
     disconnected_at: Option<Millis>,
+    /// False from a detected pause until [`Event::Verified`]; nothing is delivered meanwhile.
     is_verified: bool,
+    /// False while the caller is too slow and engines are not read; their silence is then ignored.
     is_reading: bool,
     is_over: bool,
     counts: Counts,
 }
 
 impl Generation {
-    /// A new generation; [`Self::start`] sets it going.
+    /// Creates a generation without tokens; call [`Self::start`] next.
     pub fn new(now: Millis, policy: Policy) -> Self {
         Self {
             policy,
@@ -112,7 +121,8 @@
         }
     }
 
-    /// A generation taken over with `tokens`, of which the caller has those before `delivered`.
+    /// Creates a generation that continues a previous owner's `tokens`, of which the caller holds
+    /// those before `delivered`; call [`Self::start`] next.
     pub fn takeover(
         now: Millis,
         policy: Policy,
@@ -133,10 +143,10 @@
         }
     }
 
-    /// Sets the generation going.
+    /// Opens the first engine stream.
     ///
-    /// With `has_stream`, attempt 1 stands for the engine stream of the previous owner, which is
-    /// resumed before a new one is opened.
+    /// With `has_stream`, attempt 1 is the engine stream of the previous owner: it is resumed, and
+    /// a new attempt is opened only if that fails.
     pub fn start(&mut self, now: Millis, has_stream: bool, out: &mut Vec<Action>) {
         if !self.tokens.is_empty() {
             self.journal(out);
@@ -162,7 +172,7 @@
         });
     }
 
-    /// Takes in what has happened and adds what has to be done to `out`.
+    /// Applies an event and appends the resulting actions to `out`.
     pub fn on_event(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
         if self.is_over {
             return;
@@ -185,44 +195,44 @@
             Event::CallerDisconnected => self.disconnected_at = self.disconnected_at.or(Some(now)),
             Event::Reading(is_reading) => self.on_reading(now, is_reading),
             Event::DeadlineExpired if self.tokens.is_empty() => self.fail(Failure::Late, out),
-            // Output that has begun in time goes on.
+            // The deadline bounds only the time to the first token.
             Event::DeadlineExpired => {}
             Event::Tick => self.tick(now, out),
         }
         self.deliver(now, out);
     }
 
-    /// The tokens so far.
+    /// The tokens received so far.
     pub fn tokens(&self) -> &[Token] {
         &self.tokens
     }
 
-    /// The offset of the next token.
+    /// The offset of the next token, which is the number of tokens received.
     pub fn next_offset(&self) -> Offset {
         Offset(self.tokens.len() as u64)
     }
 
-    /// The tokens that the caller was sent.
+    /// The offset after the last token delivered to the caller.
     pub fn delivered(&self) -> Offset {
         self.delivered
     }
 
-    /// Whether the output is whole.
+    /// Whether an engine has ended the output; the last tokens may not be delivered yet.
     pub fn is_complete(&self) -> bool {
         self.is_complete
     }
 
-    /// Whether nothing more will be asked for.
+    /// Whether the generation has finished or failed; further events are ignored.
     pub fn is_over(&self) -> bool {
         self.is_over
     }
 
-    /// What has been counted.
+    /// Event counts since the generation was created here.
     pub fn counts(&self) -> &Counts {
         &self.counts
     }
 
-    /// When an [`Event::Tick`] is next needed.
+    /// The time at which the next [`Event::Tick`] is due.
     pub fn wake_at(&self, now: Millis) -> Millis {
         let mut at = self.last_write + Millis(self.policy.keepalive_ms);
         at = at.min(self.last_event + Millis(self.policy.pause_ms / 2));
@@ -238,7 +248,8 @@
         at.max(now + Millis(1))
     }
 
-    /// When a run needs a decision.
+    /// When a stream is to be suspected, hedged or abandoned next; never while the caller is too
+    /// slow.
     fn stream_wake_at(&self, stream: &EngineStream) -> Millis {
         if !self.is_reading {
             return Millis::MAX;
@@ -252,8 +263,10 @@
         since + Millis(self.policy.hedge_ms)
     }
 
-    /// Notices that the owner itself was paused: its timers say nothing of others, and another
-    /// router may own the request by now.
+    /// Detects that the owner process itself was paused.
+    ///
+    /// Time that passed during the pause must not make engines look unresponsive, and another
+    /// router may have taken the request over, so delivery waits until ownership is verified.
     fn detect_pause(&mut self, now: Millis, out: &mut Vec<Action>) {
         if now.since(self.last_event).0 < self.policy.pause_ms {
             return;
@@ -371,7 +384,7 @@
         out.push(Action::Fail(failure));
     }
 
-    /// Notes that output is held up since the last token.
+    /// Records that output is interrupted since the last token, unless it is already.
     fn record_interruption(&mut self) {
         self.interruption = self.interruption.or(Some(Interruption {
             since: self.last_token,
@@ -379,7 +392,7 @@
         }));
     }
 
-    /// Says once for each loss that output goes on.
+    /// Reports, once per interruption, that output has continued.
     fn record_recovery(&mut self, now: Millis, attempt: Attempt, out: &mut Vec<Action>) {
         let Some(interruption) = self.interruption.take() else {
             return;
@@ -408,7 +421,7 @@
         });
     }
 
-    /// Delivers what may be delivered, and finishes when that is all.
+    /// Delivers tokens that are released, and finishes once the complete output is delivered.
     fn deliver(&mut self, now: Millis, out: &mut Vec<Action>) {
         if self.is_over || !self.is_verified {
             return;
--- a/crates/generation/src/machine/attempts.rs
+++ b/crates/generation/src/machine/attempts.rs
@@ -1,4 +1,4 @@
-//! The engine streams of a generation: which are opened, probed, given up and opened again.
+//! Engine streams of a generation: opening, probing, hedging, abandoning and retrying.
 
 use base::prelude::*;
 
@@ -21,7 +21,7 @@
             return;
         };
         if offset > next {
-            // The engine started beyond what is held; what lies between is nowhere to be had.
+            // The engine starts after the next offset; the tokens in between cannot be obtained.
             self.abandon(now, attempt, out);
             return;
         }
@@ -54,7 +54,7 @@
             OpenError::Unreachable | OpenError::NoStream => {
                 self.avoid.push(attempt);
                 self.remove_stream(attempt);
-                // If this was a second attempt beside a suspected one, another may start.
+                // If the failed attempt was a hedge, the suspected stream may be hedged again.
                 for stream in &mut self.streams {
                     stream.is_hedged = false;
                 }
@@ -65,11 +65,11 @@
         }
     }
 
-    /// An engine skipped offsets: they are read again over a new connection.
+    /// Handles offsets that an engine skipped, by reading them again over a new connection.
     pub(super) fn on_gap(&mut self, now: Millis, attempt: Attempt, out: &mut Vec<Action>) {
         let is_probing = self.stream_mut(attempt).is_some_and(|s| s.is_probing());
         if is_probing {
-            // A new connection is being opened already.
+            // A new connection is being opened already, and reads from the missing offset.
             self.counts.dropped += 1;
             return;
         }
@@ -85,14 +85,14 @@
         if self.policy.mode == Mode::Scratch {
             self.restart(now, out);
         } else if was_probing {
-            // A stream that breaks on the new connection as well has no engine behind it.
+            // The probe has failed as well, so the engine is taken to have failed.
             self.abandon(now, attempt, out);
         } else {
             self.probe(now, attempt, out);
         }
     }
 
-    /// Suspects runs that are silent, and decides on those already suspected.
+    /// Suspects streams that are unresponsive, and hedges or abandons those already being probed.
     pub(super) fn check_streams(&mut self, now: Millis, out: &mut Vec<Action>) {
         let policy = self.policy;
         let attempts: Vec<Attempt> = self.streams.iter().map(|s| s.attempt).collect();
@@ -117,7 +117,7 @@
         }
     }
 
-    /// A run is silent for longer than its own gaps explain.
+    /// Handles a stream that has been silent for longer than its limit.
     fn suspect(&mut self, now: Millis, attempt: Attempt, out: &mut Vec<Action>) {
         if self.policy.mode == Mode::Scratch {
             self.restart(now, out);
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Resumes a run over a new connection.
+    /// Probes a stream by resuming it over a new connection.
     fn probe(&mut self, now: Millis, attempt: Attempt, out: &mut Vec<Action>) {
         let from = self.next_offset();
         self.counts.probes += 1;
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Ends a run for good, and opens another attempt if none runs.
+    /// Cancels a stream, excludes its backend server, and opens another attempt if none is left.
     pub(super) fn abandon(&mut self, now: Millis, attempt: Attempt, out: &mut Vec<Action>) {
         self.avoid.push(attempt);
         self.remove_stream(attempt);
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Opens another attempt at once after a loss, later after a row of failures.
+    /// Opens another attempt: at once after the first failure, with backoff after further ones.
     fn reopen(&mut self, now: Millis, out: &mut Vec<Action>) {
         if self.policy.mode == Mode::Scratch && !self.tokens.is_empty() {
             self.restart(now, out);
@@ -185,21 +185,23 @@
         });
     }
 
-    /// Plans another try, each later than the one before.
+    /// Schedules another attempt with exponential backoff, if no stream is left.
     fn schedule_retry(&mut self, now: Millis) {
         if !self.streams.is_empty() {
             return;
         }
         let factor = 1 << self.retries.min(MAX_BACKOFF_FACTOR.ilog2());
         self.retries += 1;
-        // After a round of failures every backend server deserves another look.
+        // Every backend server becomes eligible again: those that failed may have recovered by
+        // then.
         self.avoid.clear();
         self.retry_at = Some(now + Millis(self.policy.retry_ms * factor));
     }
 
     fn on_model_gone(&mut self, now: Millis, attempt: Attempt, out: &mut Vec<Action>) {
         if self.tokens.is_empty() {
-            // Nothing was generated yet: the model may still be loading somewhere.
+            // No tokens to stay consistent with: the model may still be loading on a backend
+            // server.
             self.remove_stream(attempt);
             self.schedule_retry(now);
             return;
@@ -210,7 +212,7 @@
         }
     }
 
-    /// Drops all tokens and begins a new generation.
+    /// Discards all tokens and begins again from the first one.
     fn restart(&mut self, now: Millis, out: &mut Vec<Action>) {
         for stream in std::mem::take(&mut self.streams) {
             out.push(Action::Cancel(stream.attempt));
@@ -226,7 +228,7 @@
         self.open(now, false, out);
     }
 
-    /// Ends the attempts that lost against `winner`.
+    /// Cancels all attempts but `winner`.
     pub(super) fn cancel_others(&mut self, winner: Attempt, out: &mut Vec<Action>) {
         self.streams.retain(|stream| {
             let wins = stream.attempt == winner;
--- a/crates/generation/src/policy.rs
+++ b/crates/generation/src/policy.rs
@@ -1,9 +1,9 @@
-//! What a profile declares about resuming.
+//! Settings of a profile for interrupted generations.
 
 use serde::{Deserialize, Serialize};
 use strum::{Display, EnumString, IntoStaticStr};
 
-/// What a profile weighs more when an engine is suspected.
+/// How a suspected engine is handled: the trade-off between latency and duplicate work.
 #[derive(
     Clone,
     Copy,
@@ -20,65 +20,65 @@
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Mode {
-    /// Start a second attempt on suspicion, while the first is still listened to.
+    /// Open a second attempt on suspicion and keep reading the first.
     #[default]
     Latency,
-    /// Confirm the loss first, so that no work is done twice.
+    /// Open another attempt only when the first has failed, so that no work is done twice.
     Cost,
-    /// Begin again from the first token; a baseline for measurements only.
+    /// Begin again from the first token; only a baseline for measurements.
     Scratch,
 }
 
-/// What to do when no engine has the model version that began a generation.
+/// What to do when no engine has the model version that produced the tokens so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ModelGone {
-    /// Begin a new generation and tell the caller.
+    /// Begin a new generation and notify the caller.
     Restart,
-    /// End with an error.
+    /// End the request with an error.
     #[default]
     Fail,
 }
 
-/// The times and bounds of one generation.
+/// Time limits and bounds of one generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Policy {
-    /// What is weighed more.
+    /// How a suspected engine is handled.
     pub mode: Mode,
-    /// The longest that an engine may take to accept a stream, in milliseconds.
+    /// Time limit for an engine to accept a stream, in milliseconds.
     pub open_ms: u64,
-    /// The longest from acceptance to the first token, in milliseconds.
+    /// Time from acceptance to the first token after which a stream is suspected, in milliseconds.
     pub first_ms: u64,
-    /// The least silence between tokens that is suspected, in milliseconds.
+    /// Lower bound of the silence between tokens that is suspected, in milliseconds.
     pub floor_ms: u64,
-    /// The greatest silence between tokens that is not suspected, in milliseconds.
+    /// Upper bound of the silence between tokens that is not suspected, in milliseconds.
     pub ceiling_ms: u64,
-    /// How many times the smoothed gap between tokens a silence must last to be suspected.
+    /// The multiple of the smoothed gap between tokens that a silence must last to be suspected.
     pub gap_factor: u32,
-    /// How long the probe of a suspected stream may take before a second attempt starts, in
-    /// milliseconds; used in the latency mode.
+    /// How long the probe of a suspected stream may take before a second attempt is opened, in
+    /// milliseconds; used in the latency mode only.
     pub hedge_ms: u64,
-    /// How long the probe of a suspected stream may take before the engine is given up, in
+    /// How long the probe of a suspected stream may take before the stream is cancelled, in
     /// milliseconds.
     pub confirm_ms: u64,
-    /// The least wait before another try when no backend server can be had, in milliseconds.
+    /// Initial backoff before another attempt when no backend server is available, in milliseconds.
     pub retry_ms: u64,
-    /// The longest without a new token before the request is given up, in milliseconds.
+    /// Time without a new token after which the request fails, in milliseconds.
     pub stall_ms: u64,
-    /// The time between keep-alives while no token is delivered, in milliseconds.
+    /// Interval of keep-alives to the caller while no token is delivered, in milliseconds.
     pub keepalive_ms: u64,
-    /// How long a generation goes on for a caller that went away, in milliseconds.
+    /// How long a generation continues after its caller disconnected, in milliseconds.
     pub orphan_ms: u64,
-    /// The longest time between two events of a running owner, in milliseconds; after a longer
-    /// one, ownership is verified before anything is delivered.
+    /// Time between two events from which the owner counts as having been paused, in milliseconds;
+    /// ownership is then verified before anything is delivered.
     pub pause_ms: u64,
-    /// The most engine streams over the whole generation.
+    /// Maximum number of engine streams opened over the whole generation.
     pub attempts: u64,
-    /// The most resumes that wait for one engine at once while another engine has fewer, counted
-    /// by each router.
+    /// Maximum number of resumed streams that wait for one engine at a time while another engine
+    /// has fewer; counted by each router separately.
     pub resumes: u64,
-    /// What to do when the model version is gone.
+    /// What to do when no engine has the model version that produced the tokens so far.
     pub model_gone: ModelGone,
 }
 
--- a/crates/generation/src/stream.rs
+++ b/crates/generation/src/stream.rs
@@ -1,4 +1,4 @@
-//! One engine stream of a generation.
+//! State of one engine stream of a generation, and when it is suspected.
 
 use base::prelude::*;
 use serde::Serialize;
@@ -6,45 +6,47 @@
 use crate::gaps::Gaps;
 use crate::policy::Policy;
 
-/// How many answered probes in a row excuse a stream that gives no token.
+/// Maximum number of answered probes, without a token in between, that end the suspicion of a
+/// stream.
 const MAX_ANSWERED_PROBES: u32 = 2;
 
-/// How far a stream has come.
+/// Stage of an engine stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub(crate) enum Stage {
-    /// The engine has not accepted it.
+    /// Requested, not yet accepted by the engine.
     Opening,
-    /// It is accepted and has given no token.
+    /// Accepted, without a token yet.
     Waiting,
-    /// It gives tokens.
+    /// Producing tokens.
     #[serde(rename = "Flowing")]
     Streaming,
-    /// It went silent or broke, and is being resumed over a new connection since then.
+    /// Unresponsive, broken or taken over; being resumed over a new connection since this time.
     Probing(Millis),
 }
 
-/// The state of one engine stream.
+/// One engine stream, identified by its attempt.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct EngineStream {
     pub(crate) attempt: Attempt,
     pub(crate) stage: Stage,
-    /// Whether it runs beside another that is only suspected.
+    /// Whether it was opened while another stream was only suspected.
     pub(crate) is_hedge: bool,
-    /// Whether a second attempt was started because of it.
+    /// Whether a second attempt was opened because this one was suspected.
     pub(crate) is_hedged: bool,
-    /// When the stage began or the last token came.
+    /// When the stream was opened, was accepted, answered a probe or produced a token, whichever
+    /// came last; also the end of a pause of the owner or of a wait for a slow caller.
     #[serde(rename = "last")]
     pub(crate) last_progress: Millis,
-    /// Whether it has given a token.
+    /// Whether it has produced a token.
     has_tokens: bool,
-    /// Probes answered since the last token.
+    /// Number of probes answered since the last token.
     #[serde(rename = "answered")]
     answered_probes: u32,
     gaps: Gaps,
 }
 
 impl EngineStream {
-    /// A stream that is being opened.
+    /// Creates a stream that is being opened.
     pub(crate) fn new(now: Millis, attempt: Attempt, is_hedge: bool) -> Self {
         Self {
             attempt,
@@ -58,7 +60,7 @@
         }
     }
 
-    /// Notes a token.
+    /// Records a token.
     pub(crate) fn on_token(&mut self, now: Millis) {
         if self.has_tokens {
             self.gaps.add(now.since(self.last_progress).0);
@@ -70,12 +72,12 @@
         self.last_progress = now;
     }
 
-    /// Notes that the engine accepted the stream, or answered a probe of it.
+    /// Records that the engine accepted the stream or answered a probe of it.
     pub(crate) fn on_opened(&mut self, now: Millis) {
         if self.is_probing() {
             self.answered_probes += 1;
             if self.answered_probes > MAX_ANSWERED_PROBES {
-                // The engine is alive but gives no token; the probe is left to run out.
+                // The engine answers but produces no tokens: let the probe time out.
                 return;
             }
         }
@@ -87,15 +89,16 @@
         self.last_progress = now;
     }
 
-    /// Whether it is being resumed.
+    /// Whether it is being resumed over a new connection.
     pub(crate) fn is_probing(&self) -> bool {
         matches!(self.stage, Stage::Probing(_))
     }
 
-    /// When silence becomes suspect.
+    /// The time at which the stream is suspected unless a token arrives before.
     pub(crate) fn suspect_at(&self, policy: &Policy) -> Millis {
         let limit = match self.stage {
-            // The opener has the limit of this stage; it reports a failure by itself.
+            // The router times out a connection attempt, after `Policy::open_ms` or, for a probe,
+            // `Policy::confirm_ms`, and reports the failure.
             Stage::Opening | Stage::Probing(_) => return Millis::MAX,
             Stage::Waiting => policy.first_ms,
             Stage::Streaming => self.gaps.limit(policy),
--- a/crates/generation/tests/random_takeovers.rs
+++ b/crates/generation/tests/random_takeovers.rs
@@ -1,7 +1,9 @@
-//! Random interleavings of tokens, losses, pauses, seals and repeats, over three hosts.
+//! Random interleavings of tokens, failures, pauses, seals and retries by the caller, on three
+//! hosts.
 //!
-//! Whatever happens, what the caller holds is an unbroken sequence of one generation's tokens, and
-//! it becomes whole once the losses end.
+//! Guards against takeovers that mix tokens of different generations or leave gaps: after each step
+//! the caller's tokens must follow each other in one generation, and the output must become
+//! complete once the failures end.
 
 mod world;
 
@@ -9,10 +11,10 @@
 use proptest::test_runner::{Config, RngSeed, TestRunner};
 use world::{Step, World};
 
-/// The number of interleavings.
+/// Number of interleavings per test.
 const CASES: u32 = 400;
 
-/// The number of random steps in each.
+/// Maximum number of random steps in each.
 const STEPS: usize = 160;
 
 fn config(seed: u64) -> Config {
@@ -35,7 +37,10 @@
         }
         world.heal();
         world.check()?;
-        prop_assert!(world.is_whole(), "not whole: {world:#?}");
+        prop_assert!(
+            world.is_complete(),
+            "output incomplete after healing: {world:#?}"
+        );
         Ok(())
     });
     if let Err(e) = ran {
--- a/crates/generation/tests/scenarios.rs
+++ b/crates/generation/tests/scenarios.rs
@@ -1,7 +1,8 @@
 //! Scripted scenarios of one generation.
 //!
-//! Each command names the time as `t=`; its output is what the generation asks for. `token` takes
-//! `count=` and `gap=` for a run of tokens. Tokens are released at once unless `hold` was given.
+//! `t=` is the time of a command in milliseconds; its output lists the resulting actions. `token`
+//! takes `count=` and `gap=` for several tokens at regular intervals. Journalled tokens are
+//! released at once unless `new` was given `hold`.
 
 mod script;
 
--- a/crates/generation/tests/script/mod.rs
+++ b/crates/generation/tests/script/mod.rs
@@ -1,4 +1,4 @@
-//! The commands of the scenario language.
+//! Interpreter of the scenario commands.
 
 use std::str::FromStr;
 
@@ -47,7 +47,7 @@
         self.print(now, actions)
     }
 
-    /// A run of tokens from one attempt.
+    /// Feeds consecutive tokens of one attempt.
     fn tokens(&mut self, case: &TestCase, start: Millis) -> String {
         let attempt = attempt(case);
         let first = number(case, "offset").expect("`offset=` is given");
@@ -73,7 +73,7 @@
         generation.on_event(now, event, actions);
     }
 
-    /// One line an action; journalled tokens are released at once unless they are held.
+    /// Prints one line per action; journalled tokens are released at once unless `hold` was given.
     fn print(&mut self, now: Millis, actions: Vec<Action>) -> String {
         let mut text = String::new();
         for action in actions {
@@ -165,7 +165,7 @@
     }
 }
 
-/// The default policy, with what the command changes.
+/// The default policy with the overrides of the command.
 fn policy(case: &TestCase) -> Policy {
     let default = Policy::default();
     let mode = text(case, "mode").unwrap_or_else(|| "latency".to_owned());
--- a/crates/generation/tests/world/engines.rs
+++ b/crates/generation/tests/world/engines.rs
@@ -1,4 +1,5 @@
-//! Engine streams whose tokens depend on the token before, and the connections to them.
+//! Simulated engines: each token is a function of the previous one, so that a mix of generations
+//! shows.
 
 use base::hash::stable;
 use base::prelude::*;
@@ -10,7 +11,7 @@
 #[derive(Debug)]
 struct Stream {
     prefix: u64,
-    /// All tokens, the prefix included.
+    /// All tokens, including the prefix.
     tokens: Vec<Token>,
     is_alive: bool,
 }
@@ -27,14 +28,14 @@
     is_closed: bool,
 }
 
-/// All engines.
+/// The streams of all engines and the connections to them.
 #[derive(Debug, Default)]
 pub(crate) struct Engines {
     streams: Vec<Stream>,
     connections: Vec<Connection>,
 }
 
-/// The token after one with index `previous`.
+/// The token that follows the token with id `previous`.
 pub(crate) fn following(previous: u32) -> Token {
     let id = stable(&previous.to_le_bytes()) as u32;
     Token {
@@ -44,7 +45,7 @@
 }
 
 impl Engines {
-    /// Starts a stream after `prefix`; the first token of all is drawn by the stream itself.
+    /// Starts a stream after `prefix`; without a prefix the first token is unique to the stream.
     pub(crate) fn open(&mut self, owner: u64, attempt: Attempt, prefix: &[Token]) -> usize {
         self.streams.push(Stream {
             prefix: prefix.len() as u64,
@@ -56,7 +57,8 @@
         stream
     }
 
-    /// Connects an owner to a stream from `from` on; its earlier connection of the attempt closes.
+    /// Connects an owner to a stream at offset `from` and closes its earlier connection of that
+    /// attempt.
     pub(crate) fn connect(&mut self, owner: u64, attempt: Attempt, stream: usize, from: u64) {
         self.close(owner, attempt);
         self.connections.push(Connection {
@@ -84,19 +86,19 @@
         self.streams[stream].is_alive = false;
     }
 
-    /// A living stream gives its next token.
+    /// Produces the next token of one of the running streams.
     pub(crate) fn generate(&mut self, n: usize) {
-        let mut living: Vec<(usize, &mut Stream)> = self
+        let mut running: Vec<(usize, &mut Stream)> = self
             .streams
             .iter_mut()
             .enumerate()
             .filter(|(_, s)| s.is_alive && (s.tokens.len() as u64) < LENGTH)
             .collect();
-        if living.is_empty() {
+        if running.is_empty() {
             return;
         }
-        let count = living.len();
-        let (i, stream) = &mut living[n % count];
+        let count = running.len();
+        let (i, stream) = &mut running[n % count];
         let token = match stream.tokens.last() {
             Some(last) => following(last.id),
             None => following(u32::try_from(*i).expect("streams are few") + 1_000_000),
@@ -118,7 +120,7 @@
         }
     }
 
-    /// What an owner hears next over one of its connections, late ones included.
+    /// The next event that an owner receives over one of its connections, closed ones included.
     pub(crate) fn next_event(&mut self, owner: u64, n: usize, held: Offset) -> Option<Event> {
         let mut own: Vec<&mut Connection> = self
             .connections
@@ -134,7 +136,8 @@
         let attempt = connection.attempt;
         let next = connection.next?;
         if connection.is_closed {
-            // Only tokens that were on their way still come, and they come late.
+            // After the close only tokens that were in transit arrive, and only those that the
+            // owner has received already.
             let token = stream.tokens.get(next as usize).cloned();
             connection.next = token.as_ref().map(|_| next + 1);
             let is_late = next < held.0;
--- a/crates/generation/tests/world/mod.rs
+++ b/crates/generation/tests/world/mod.rs
@@ -1,4 +1,4 @@
-//! Three hosts, engines and one caller, driven step by step.
+//! Simulation of three hosts, their engines and one caller, driven step by step.
 
 mod engines;
 mod owner;
@@ -13,26 +13,26 @@
 use proptest::prelude::*;
 use proptest::test_runner::TestCaseError;
 
-/// The hosts.
+/// Number of hosts.
 pub(crate) const HOSTS: usize = 3;
 
-/// The number of tokens in the whole output.
+/// Number of tokens in the complete output.
 pub(crate) const LENGTH: u64 = 12;
 
-/// The request's digest.
+/// Digest of the request.
 const DIGEST: u64 = 7;
 
-/// The steps of healing, far more than a whole output needs.
-const HEALING: usize = 6_000;
+/// Maximum number of steps after the failures end, far more than a complete output needs.
+const HEAL_STEPS: usize = 6_000;
 
-/// One thing that may happen.
+/// One random step.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Step {
-    /// An engine stream gives a token.
+    /// An engine stream produces a token.
     Generate(u8),
     /// An owner receives the next frame of a connection.
     Receive(u8),
-    /// Time passes, and owners that run act on it.
+    /// Time passes, and owners on hosts that are not paused handle it.
     Pass(u16),
     /// A message between hosts arrives.
     Arrive(u8),
@@ -40,14 +40,14 @@
     Drop(u8),
     /// An engine stream ends with its engine.
     Kill(u8),
-    /// A connection to an engine goes silent.
+    /// A connection to an engine stalls without closing.
     Silence(u8),
-    /// A host is paused or goes on.
+    /// A host is paused or continues.
     Pause(u8),
-    /// A host dies and comes back empty.
+    /// A host restarts with an empty store.
     Restart(u8),
-    /// The caller repeats its request on a host.
-    Repeat(u8),
+    /// The caller retries its request on a host.
+    Retry(u8),
 }
 
 impl Arbitrary for Step {
@@ -65,7 +65,7 @@
             1 => any::<u8>().prop_map(Self::Silence),
             1 => any::<u8>().prop_map(Self::Pause),
             1 => any::<u8>().prop_map(Self::Restart),
-            2 => any::<u8>().prop_map(Self::Repeat),
+            2 => any::<u8>().prop_map(Self::Retry),
         ]
         .boxed()
     }
@@ -74,14 +74,14 @@
 /// A message to a host, or the answer to one.
 #[derive(Clone, Debug)]
 pub(crate) enum Message {
-    /// An append, with the owner that waits for its answer.
+    /// An append to the host `to` from the owner numbered `from`.
     Append {
         to: usize,
         from: u64,
         call: u64,
         append: Box<Append>,
     },
-    /// The answer to an append.
+    /// The answer to an append, for the owner that sent it.
     Answer {
         owner: u64,
         call: u64,
@@ -96,17 +96,17 @@
     pub(crate) is_paused: bool,
 }
 
-/// What the caller holds.
+/// State of the caller.
 #[derive(Debug, Default)]
 struct Caller {
-    /// The owner behind its connection.
+    /// Number of the owner that serves its connection.
     owner: Option<u64>,
     generation: GenerationId,
     tokens: Vec<Token>,
     is_done: bool,
 }
 
-/// Everything.
+/// State of the simulation.
 #[derive(Debug)]
 pub(crate) struct World {
     now: Millis,
@@ -116,8 +116,8 @@
     owners: Vec<Owner>,
     messages: Vec<Message>,
     caller: Caller,
-    numbers: u64,
-    /// The last seal that every host answered, and the journal that it gave.
+    last_number: u64,
+    /// The last seal that every host answered, and the tokens of the latest journal sealed.
     sealed: Option<(Epoch, Vec<Token>)>,
     violation: Option<String>,
 }
@@ -136,11 +136,11 @@
             owners: Vec::new(),
             messages: Vec::new(),
             caller: Caller::default(),
-            numbers: 0,
+            last_number: 0,
             sealed: None,
             violation: None,
         };
-        world.repeat(0);
+        world.retry(0);
         world
     }
 
@@ -150,7 +150,7 @@
             Step::Receive(n) => self.receive(n.into()),
             Step::Pass(ms) => self.pass(ms.into()),
             Step::Arrive(n) => self.arrive(n.into()),
-            Step::Drop(n) => self.lose(n.into()),
+            Step::Drop(n) => self.drop_message(n.into()),
             Step::Kill(n) => self.engines.kill(n.into()),
             Step::Silence(n) => self.engines.silence(n.into()),
             Step::Pause(n) => {
@@ -158,21 +158,21 @@
                 host.is_paused = !host.is_paused;
             }
             Step::Restart(n) => self.restart(usize::from(n) % HOSTS),
-            Step::Repeat(n) => self.repeat(usize::from(n) % HOSTS),
+            Step::Retry(n) => self.retry(usize::from(n) % HOSTS),
         }
     }
 
-    /// Ends all losses and lets the caller come back until it has everything.
+    /// Ends all failures and lets the caller retry until its output is complete.
     pub(crate) fn heal(&mut self) {
         for host in &mut self.hosts {
             host.is_paused = false;
         }
-        for i in 0..HEALING {
-            if self.is_whole() {
+        for i in 0..HEAL_STEPS {
+            if self.is_complete() {
                 return;
             }
             if i % 600 == 599 || !self.has_owner() {
-                self.repeat(i / 600 % HOSTS);
+                self.retry(i / 600 % HOSTS);
             }
             self.engines.generate(i);
             self.receive(i);
@@ -183,11 +183,11 @@
         }
     }
 
-    pub(crate) fn is_whole(&self) -> bool {
+    pub(crate) fn is_complete(&self) -> bool {
         self.caller.is_done && self.caller.tokens.len() as u64 == LENGTH
     }
 
-    /// What must hold after each step.
+    /// Checks the invariants that hold after each step.
     pub(crate) fn check(&self) -> Result<(), TestCaseError> {
         if let Some(violation) = &self.violation {
             return Err(TestCaseError::fail(violation.clone()));
@@ -195,12 +195,17 @@
         let tokens = &self.caller.tokens;
         for (i, pair) in tokens.windows(2).enumerate() {
             let expected = engines::following(pair[0].id);
-            prop_assert_eq!(pair[1].id, expected.id, "mixed at {}", i + 1);
+            prop_assert_eq!(
+                pair[1].id,
+                expected.id,
+                "tokens of different generations are mixed at offset {}",
+                i + 1
+            );
         }
         Ok(())
     }
 
-    /// Whether the caller's connection has a running owner behind it.
+    /// Whether the owner that serves the caller's connection is still running.
     fn has_owner(&self) -> bool {
         let is_own = |o: &Owner| Some(o.number) == self.caller.owner && !o.generation.is_over();
         self.owners.iter().any(is_own)
@@ -209,28 +214,28 @@
     fn pass(&mut self, ms: u64) {
         self.now = self.now + Millis(ms);
         for i in 0..self.owners.len() {
-            self.tell(i, Event::Tick);
+            self.pass_event(i, Event::Tick);
             let now = self.now;
             if !self.hosts[self.owners[i].host].is_paused {
                 let mut out = Vec::new();
-                self.owners[i].replica.tick(now, &mut out);
-                self.on_replica(i, out);
+                self.owners[i].replicator.tick(now, &mut out);
+                self.on_replicator(i, out);
             }
         }
     }
 
     fn receive(&mut self, n: usize) {
-        let live = self.owners.len();
-        if live == 0 {
+        let count = self.owners.len();
+        if count == 0 {
             return;
         }
-        let i = n % live;
+        let i = n % count;
         if self.hosts[self.owners[i].host].is_paused {
             return;
         }
         let next = self.owners[i].generation.next_offset();
         if let Some(event) = self.engines.next_event(self.owners[i].number, n, next) {
-            self.tell(i, event);
+            self.pass_event(i, event);
         }
     }
 
@@ -280,21 +285,21 @@
         };
         let now = self.now;
         let mut out = Vec::new();
-        let is_expected = self.owners[i].replica.is_pending(call);
+        let is_expected = self.owners[i].replicator.is_pending(call);
         match answer {
-            Ok(held) => self.owners[i].replica.on_ack(now, call, held, &mut out),
+            Ok(held) => self.owners[i].replicator.on_ack(now, call, held, &mut out),
             Err(refusal) => self.owners[i]
-                .replica
+                .replicator
                 .on_refused(now, call, refusal, &mut out),
         }
-        self.on_replica(i, out);
+        self.on_replicator(i, out);
         if is_expected && answer.is_ok() && self.owners[i].is_verifying {
             self.owners[i].is_verifying = false;
-            self.tell(i, Event::Verified);
+            self.pass_event(i, Event::Verified);
         }
     }
 
-    fn lose(&mut self, n: usize) {
+    fn drop_message(&mut self, n: usize) {
         if !self.messages.is_empty() {
             self.messages.remove(n % self.messages.len());
         }
@@ -311,17 +316,17 @@
             .collect();
         self.owners.retain(|o| o.host != host);
         self.engines.disconnect(&dead);
-        // The seal on that host is gone with its journals.
+        // The host has lost its seals with its journals.
         self.sealed = None;
     }
 
-    /// The caller repeats its request: `host` seals the journals and takes over.
-    fn repeat(&mut self, host: usize) {
+    /// Retries the request on `host`, which seals the journals and takes over.
+    fn retry(&mut self, host: usize) {
         if self.caller.is_done || self.hosts[host].is_paused {
             return;
         }
-        self.numbers += 1;
-        let number = self.numbers;
+        self.last_number += 1;
+        let number = self.last_number;
         let key = key();
         let round = self.hosts[host].store.fence(&key).unwrap_or_default();
         let mut epoch = round.succeed(Incarnation(number));
@@ -334,7 +339,8 @@
         self.take_over(host, number, epoch, sealed);
     }
 
-    /// Seals the journals of the hosts that answer; `None` stands for one that does not.
+    /// Seals the journals on all hosts; the entry of a paused host, which does not answer, is
+    /// `None`.
     fn seal(&mut self, epoch: Epoch) -> Result<Vec<Option<Option<Snapshot>>>, Epoch> {
         let now = self.now;
         let mut sealed = Vec::new();
@@ -346,7 +352,7 @@
             match host.store.seal(now, &key(), epoch, DIGEST) {
                 Ok(snapshot) => sealed.push(Some(snapshot)),
                 Err(Refusal::Sealed(higher)) => return Err(higher),
-                Err(other) => panic!("not sealed: {other}"),
+                Err(other) => panic!("seal refused: {other}"),
             }
         }
         Ok(sealed)
@@ -384,7 +390,7 @@
                 (header, snapshot.tokens, snapshot.finish.is_some())
             }
             None => {
-                // The caller is told to drop what it has.
+                // The caller is told to discard its tokens.
                 self.caller.tokens.clear();
                 (fresh(number), Vec::new(), false)
             }
@@ -404,8 +410,8 @@
         self.carry_out(i, sent);
     }
 
-    /// Tells an owner what happened, unless its host is paused.
-    fn tell(&mut self, i: usize, event: Event) {
+    /// Passes an event to an owner, unless its host is paused.
+    fn pass_event(&mut self, i: usize, event: Event) {
         if self.hosts[self.owners[i].host].is_paused {
             return;
         }
@@ -413,8 +419,8 @@
         self.carry_out(i, sent);
     }
 
-    fn on_replica(&mut self, i: usize, actions: Vec<journal::replicator::Action>) {
-        let sent = self.owners[i].on_replica(self.now, actions, &mut self.engines);
+    fn on_replicator(&mut self, i: usize, actions: Vec<journal::replicator::Action>) {
+        let sent = self.owners[i].on_replicator(self.now, actions, &mut self.engines);
         self.carry_out(i, sent);
     }
 
@@ -426,7 +432,7 @@
                     let host = owner.host;
                     let answer = self.hosts[host].store.append(self.now, append);
                     if matches!(answer, Err(Refusal::Sealed(_))) {
-                        self.tell(i, Event::Superseded);
+                        self.pass_event(i, Event::Superseded);
                     }
                 }
                 Sent::Append { to, call, append } => self.messages.push(Message::Append {
@@ -450,8 +456,9 @@
         }
     }
 
-    /// Whether an owner of `epoch` may deliver: after a seal, only what the sealed journal holds,
-    /// whose acknowledgement was on its way when the witness was sealed.
+    /// Whether an owner of `epoch` may deliver `tokens`. After a seal, an older owner may deliver
+    /// only tokens in the sealed journal: their acknowledgement may have been in transit at the
+    /// time.
     fn is_allowed(&self, epoch: Epoch, from: Offset, tokens: &[Token]) -> bool {
         let Some((sealed, journal)) = &self.sealed else {
             return true;
@@ -463,23 +470,28 @@
     fn deliver(&mut self, i: usize, from: Offset, tokens: Vec<Token>) {
         let owner = &self.owners[i];
         if self.is_required && !self.is_allowed(owner.epoch, from, &tokens) {
-            let text = format!("owner {} delivered after its seal", owner.number);
+            let text = format!(
+                "owner {} delivered tokens that are not in the sealed journal",
+                owner.number
+            );
             self.violation = Some(text);
         }
         if self.caller.owner != Some(owner.number) {
-            // The caller has closed this connection.
+            // The caller has closed the connection to this owner.
             return;
         }
         if from.0 != self.caller.tokens.len() as u64 {
             let held = self.caller.tokens.len();
-            self.violation = Some(format!("delivered {from} to a caller that holds {held}"));
+            self.violation = Some(format!(
+                "delivered from offset {from} to a caller that holds {held} tokens"
+            ));
         }
         self.caller.generation = owner.header.generation();
         self.caller.tokens.extend(tokens);
     }
 }
 
-/// The request.
+/// Key of the request.
 pub(crate) fn key() -> RequestKey {
     RequestKey::from("workspace/request")
 }
--- a/crates/generation/tests/world/owner.rs
+++ b/crates/generation/tests/world/owner.rs
@@ -1,4 +1,4 @@
-//! One owner of the request: its generation and its replica, as a router runs them.
+//! One owner of the request: its generation and its replicator, driven as in a router.
 
 use base::prelude::*;
 use generation::{Action, Event, Generation, Policy};
@@ -8,26 +8,26 @@
 use super::engines::Engines;
 use super::{HOSTS, key};
 
-/// What leaves an owner.
+/// An output of an owner.
 #[derive(Debug)]
 pub(crate) enum Sent {
-    /// To its own host's journals.
+    /// An append to the store of its own host.
     Local(Append),
-    /// To a witness.
+    /// An append to a witness.
     Append {
         to: usize,
         call: u64,
         append: Append,
     },
-    /// To the caller.
+    /// Tokens for the caller, from an offset on.
     Deliver(Offset, Vec<Token>),
-    /// The caller has everything.
+    /// The complete output was delivered to the caller.
     Finish,
-    /// The caller must drop what it has.
+    /// The caller must discard its tokens.
     Restart,
 }
 
-/// An owner.
+/// One owner of the request on one host.
 #[derive(Debug)]
 pub(crate) struct Owner {
     pub(crate) host: usize,
@@ -35,7 +35,7 @@
     pub(crate) epoch: Epoch,
     pub(crate) header: Header,
     pub(crate) generation: Generation,
-    pub(crate) replica: Replicator,
+    pub(crate) replicator: Replicator,
     pub(crate) is_verifying: bool,
     streams: Vec<(Attempt, usize)>,
     local: Offset,
@@ -71,7 +71,7 @@
             epoch,
             header,
             generation,
-            replica: Replicator::new(now, witness, names),
+            replicator: Replicator::new(now, witness, names),
             is_verifying: false,
             streams: Vec::new(),
             local: Offset(0),
@@ -98,14 +98,14 @@
         sent
     }
 
-    pub(crate) fn on_replica(
+    pub(crate) fn on_replicator(
         &mut self,
         now: Millis,
         actions: Vec<replicator::Action>,
         engines: &mut Engines,
     ) -> Vec<Sent> {
         let mut sent = Vec::new();
-        self.act_replica(now, actions, engines, &mut sent);
+        self.act_replicator(now, actions, engines, &mut sent);
         sent
     }
 
@@ -136,8 +136,8 @@
                     sent.push(Sent::Local(self.append(self.local)));
                     self.local = length;
                     let mut out = Vec::new();
-                    self.replica.grow(now, length, finished, &mut out);
-                    self.act_replica(now, out, engines, sent);
+                    self.replicator.grow(now, length, finished, &mut out);
+                    self.act_replicator(now, out, engines, sent);
                 }
                 Action::Verify => self.verify(now, engines, sent),
                 Action::Deliver { from, to } => {
@@ -166,23 +166,23 @@
         });
         sent.push(Sent::Local(self.append(self.local)));
         let mut out = Vec::new();
-        self.replica.header_changed(now, &mut out);
-        self.act_replica(now, out, engines, sent);
+        self.replicator.header_changed(now, &mut out);
+        self.act_replicator(now, out, engines, sent);
     }
 
     fn verify(&mut self, now: Millis, engines: &mut Engines, sent: &mut Vec<Sent>) {
         sent.push(Sent::Local(self.append(self.local)));
-        if self.replica.witness().is_none() {
+        if self.replicator.witness().is_none() {
             sent.extend(self.on(now, Event::Verified, engines));
             return;
         }
         self.is_verifying = true;
         let mut out = Vec::new();
-        self.replica.verify(now, &mut out);
-        self.act_replica(now, out, engines, sent);
+        self.replicator.verify(now, &mut out);
+        self.act_replicator(now, out, engines, sent);
     }
 
-    fn act_replica(
+    fn act_replicator(
         &mut self,
         now: Millis,
         actions: Vec<replicator::Action>,
--- a/crates/gooseberry-router/src/shelf.rs
+++ b/crates/gooseberry-router/src/shelf.rs
@@ -38,7 +38,7 @@
         lock(part).append(now, append)
     }
 
-    /// See [`Store::witness`].
+    /// See [`Store::append_remote`].
     ///
     /// # Errors
     ///
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -1,7 +1,13 @@
-//! The witness log of generations, its seals, and the owner's side of the protocol.
+//! Journals of generations: a store that fences and expires them, the replication of a journal from
+//! its owner to a witness, and the choice of witnesses.
 //!
-//! Pure: calls and the time come in, results and actions go out. The crate knows nothing of the
-//! transport between hosts, nor of engines beyond the names in a [`record::Header`].
+//! The owner of a request writes its tokens to its own host and to one witness. A router that takes
+//! the request over seals the journals it can reach, which fences the previous owner, and continues
+//! from the latest one.
+//!
+//! Performs no I/O and reads no clock: takes calls and the current time, returns results and
+//! actions. The transport between hosts is left to the router; of engines only the names in a
+//! [`record::Header`] are known.
 
 pub mod choice;
 pub mod record;
--- a/crates/journal/src/record.rs
+++ b/crates/journal/src/record.rs
@@ -1,4 +1,4 @@
-//! The data that an owner and its witness exchange.
+//! Data exchanged between the owner of a request, its witness and a router that takes over.
 
 use std::net::SocketAddr;
 
@@ -6,33 +6,33 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// What a takeover must know of a generation besides its tokens.
+/// What a takeover needs besides the tokens of a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Header {
-    /// The digest of the request body, to tell a repeat from another request.
+    /// Digest of the request body, which tells a retry from another request under the same key.
     pub digest: u64,
-    /// The generations that make up the sequence, each with the offset at which it begins.
+    /// The generations that produced the tokens, each with the offset at which it begins.
     ///
     /// # Invariants
     ///
-    /// Not empty once a generation runs; offsets never fall.
+    /// Not empty once a generation has started; offsets never decrease.
     pub lineage: Vec<Segment>,
-    /// The model, version and adapter that produced the tokens.
+    /// Model, version and adapter that produce the tokens.
     pub model: Model,
-    /// The engine stream last in use, if any.
+    /// The engine stream last in use; `None` before an engine accepts one.
     pub stream: Option<StreamRef>,
 }
 
 impl Header {
-    /// The generation under which the next token is written.
+    /// The generation of the next token: the last of the lineage.
     pub fn generation(&self) -> GenerationId {
         self.lineage
             .last()
             .map_or_else(GenerationId::default, |s| s.generation)
     }
 
-    /// Whether a caller that holds `offset` tokens of `generation` holds a prefix of a sequence
-    /// of `length` tokens under this header.
+    /// Whether a caller that received `offset` tokens, the last under `generation`, holds a prefix
+    /// of the `length` tokens under this header.
     pub fn covers(&self, generation: GenerationId, offset: Offset, length: Offset) -> bool {
         let place = self.lineage.iter().position(|s| s.generation == generation);
         let Some(i) = place else { return false };
@@ -41,12 +41,12 @@
     }
 }
 
-/// One generation of a sequence.
+/// A run of tokens that one generation produced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Segment {
     /// The generation.
     pub generation: GenerationId,
-    /// The offset of its first token.
+    /// The offset of its first token; the segment ends where the next one begins.
     pub start: Offset,
 }
 
@@ -55,42 +55,42 @@
 pub struct StreamRef {
     /// The name of the stream on the engine.
     pub name: String,
-    /// The backend server.
+    /// The backend server whose engine runs the stream.
     pub backend: BackendId,
-    /// Its address.
+    /// The address of the backend server.
     pub addr: SocketAddr,
-    /// The life of the engine that runs the stream.
+    /// The incarnation of the engine; after a restart it does not know the stream.
     pub incarnation: Incarnation,
 }
 
-/// Tokens to add to a journal.
+/// Request to append tokens to a journal; without tokens, a heartbeat of the owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Append {
     /// The request.
     pub key: RequestKey,
-    /// The ownership under which the tokens are written.
+    /// The epoch of the owner that sends the append.
     pub epoch: Epoch,
     /// The header, if it changed since the last append to the same witness.
     pub header: Option<Header>,
     /// The offset of the first token.
     pub from: Offset,
-    /// The tokens.
+    /// The tokens from that offset on.
     pub tokens: Vec<Token>,
-    /// Whether the sequence is whole after these tokens.
+    /// Why the output ends after these tokens; `None` while it is incomplete.
     pub finish: Option<FinishReason>,
 }
 
-/// Why a sequence is whole.
+/// Why an output ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FinishReason {
     /// The model ended it.
     Stop,
-    /// It reached the most tokens asked for.
+    /// It reached the maximum number of tokens that the request allows.
     Length,
 }
 
 impl FinishReason {
-    /// The name used in answers to callers.
+    /// The `finish_reason` in responses to callers.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Stop => "stop",
@@ -99,35 +99,35 @@
     }
 }
 
-/// Why a witness does not take tokens or a seal.
+/// Why a store refuses an append or a seal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, Error)]
 pub enum Refusal {
-    /// Another router has taken the request over.
+    /// Another router has taken the request over under this epoch.
     #[error("the request is owned under epoch {0}; end this stream and leave the engine's alone")]
     Sealed(Epoch),
-    /// The witness holds as many bytes or journals as it may.
+    /// The host has reached its limit of bytes or journals.
     #[error("the witness is full; choose another")]
     Full,
-    /// Tokens are missing before these.
+    /// The append starts after the end of the journal, which is at this offset.
     #[error("the journal ends at offset {0}; send from there")]
     Gap(Offset),
-    /// The key belongs to a request with another body.
+    /// The key belongs to a request with another body digest.
     #[error("the key was used for another request; choose a new key")]
     OtherRequest,
-    /// The host is leaving.
+    /// The host is leaving: it accepts no new journals and no appends from other hosts.
     #[error("the witness is leaving; choose another")]
     Leaving,
 }
 
-/// A journal as it stood when it was sealed.
+/// Contents of a journal at the time it was sealed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The ownership under which the last token was written.
+    /// The epoch of its last append.
     pub epoch: Epoch,
-    /// The header.
+    /// The header last appended.
     pub header: Header,
     /// The tokens from offset 0.
     pub tokens: Vec<Token>,
-    /// Whether the sequence is whole.
+    /// Why the output ended; `None` while it is incomplete.
     pub finish: Option<FinishReason>,
 }
--- a/crates/journal/src/replicator.rs
+++ b/crates/journal/src/replicator.rs
@@ -1,24 +1,29 @@
-//! The owner's side: keeps one witness up to date and says what may be delivered.
+//! Replication of a journal from its owner to one witness.
+//!
+//! At most one append is in flight. Tokens are released for delivery when the witness acknowledges
+//! them. A witness that fails or does not answer in time is replaced by the next candidate, which
+//! receives the journal from offset 0. Without any witness, tokens are released at once, or held
+//! back if [`Policy::required`] is set.
 
 use base::prelude::*;
 use serde::{Deserialize, Serialize};
 
 use crate::record::Refusal;
 
-/// Bounds on how a witness is kept.
+/// Settings of a profile for the replication to a witness.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Policy {
-    /// How long tokens are collected before an append, in milliseconds.
+    /// How long tokens are batched before they are appended, in milliseconds.
     pub batch_ms: u64,
-    /// How long a witness may take to answer before it is replaced, in milliseconds.
+    /// Time limit for the answer of a witness, after which it is replaced, in milliseconds.
     pub ack_ms: u64,
-    /// The time between appends when there are no tokens, in milliseconds.
+    /// Interval of heartbeats (empty appends) while there are no tokens to append, in milliseconds.
     #[serde(rename = "beat_ms")]
     pub heartbeat_ms: u64,
-    /// How long a witness that failed is left out, in milliseconds.
+    /// How long a host that failed as a witness is excluded, in milliseconds.
     pub avoid_ms: u64,
-    /// Whether output waits when no witness can be had, or goes on without.
+    /// Whether output waits (`true`) or continues (`false`) while no witness is available.
     pub required: bool,
 }
 
@@ -34,41 +39,42 @@
     }
 }
 
-/// What the owner has to do.
+/// An action for the router to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send the tokens from `from` to the end, and say what comes of it under number `call`.
+    /// Send an append with the tokens from `from` on, and report its result with the number `call`
+    /// to [`Replicator::on_ack`], [`Replicator::on_refused`] or [`Replicator::on_failed`].
     Send {
         /// The witness.
         host: HostId,
         /// The offset of the first token to send.
         from: Offset,
-        /// Whether the header goes along.
+        /// Whether the append includes the header.
         with_header: bool,
         /// The number of this append.
         call: u64,
     },
     /// Tokens before this offset may be delivered.
     Release(Offset),
-    /// Another router owns the request now.
+    /// Another router has taken the request over under this epoch.
     Superseded(Epoch),
 }
 
-/// An append that has not been answered.
+/// The append in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 struct PendingAppend {
     call: u64,
     sent: Millis,
 }
 
-/// A host that failed as a witness.
+/// A host that failed as a witness, and until when it is excluded.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 struct FailedHost {
     host: HostId,
     until: Millis,
 }
 
-/// The state of the journal of one request at its owner.
+/// Replication state of the journal of one request.
 #[derive(Clone, Debug, Serialize)]
 pub struct Replicator {
     policy: Policy,
@@ -79,22 +85,22 @@
     calls: u64,
     length: Offset,
     finished: bool,
-    /// The tokens that the current witness holds.
+    /// The offset before which the current witness holds all tokens.
     acked: Offset,
-    /// Whether the current witness has the last header and finish.
+    /// Whether the current header and finish reason have been sent to the current witness.
     #[serde(rename = "is_current")]
     header_sent: bool,
-    /// When the oldest change that the witness does not have was made.
+    /// When the oldest change was made that has not been sent to the witness; `None` without one.
     #[serde(rename = "dirty")]
     dirty_since: Option<Millis>,
-    /// The tokens that may be delivered.
+    /// The offset before which tokens may be delivered.
     released: Offset,
     last_ack: Millis,
     switches: u64,
 }
 
 impl Replicator {
-    /// A replica without tokens, to be kept at the first of `candidates` that answers.
+    /// Starts without tokens and without a witness; `candidates` are tried in order.
     pub fn new(now: Millis, policy: Policy, candidates: Vec<HostId>) -> Self {
         Self {
             policy,
@@ -114,21 +120,21 @@
         }
     }
 
-    /// Replaces the candidates; a witness that is no longer among them is replaced.
+    /// Replaces the candidates, and the witness if it is no longer among them.
     pub fn set_candidates(&mut self, now: Millis, candidates: Vec<HostId>, out: &mut Vec<Action>) {
         self.candidates = candidates;
-        let gone = self
+        let is_removed = self
             .witness
             .as_ref()
             .is_some_and(|w| !self.candidates.contains(w));
-        if gone {
+        if is_removed {
             self.witness = None;
             self.pending = None;
         }
         self.send_due(now, out);
     }
 
-    /// The sequence has grown to `length` tokens.
+    /// Handles new tokens: the journal has `length` of them now, and is complete if `finished`.
     pub fn grow(&mut self, now: Millis, length: Offset, finished: bool, out: &mut Vec<Action>) {
         self.length = length;
         if finished && !self.finished {
@@ -139,14 +145,14 @@
         self.send_due(now, out);
     }
 
-    /// The header has changed.
+    /// Handles a change of the header.
     pub fn header_changed(&mut self, now: Millis, out: &mut Vec<Action>) {
         self.header_sent = false;
         self.dirty_since = self.dirty_since.or(Some(now));
         self.send_due(now, out);
     }
 
-    /// The witness holds the tokens before `held`.
+    /// Handles an acknowledgement: the witness holds the tokens before `held`.
     pub fn on_ack(&mut self, now: Millis, call: u64, held: Offset, out: &mut Vec<Action>) {
         if self.pending.is_none_or(|p| p.call != call) {
             return;
@@ -158,7 +164,9 @@
         self.send_due(now, out);
     }
 
-    /// The witness does not take the append.
+    /// Handles a refusal by the witness. A seal ends the ownership even if it answers an older
+    /// append; a gap makes the replicator send the missing tokens; any other refusal replaces the
+    /// witness.
     pub fn on_refused(&mut self, now: Millis, call: u64, refusal: Refusal, out: &mut Vec<Action>) {
         if let Refusal::Sealed(epoch) = refusal {
             out.push(Action::Superseded(epoch));
@@ -178,7 +186,7 @@
         self.send_due(now, out);
     }
 
-    /// The append failed on the way.
+    /// Handles an append that failed in transport: the witness is replaced.
     pub fn on_failed(&mut self, now: Millis, call: u64, out: &mut Vec<Action>) {
         if self.pending.is_some_and(|p| p.call == call) {
             self.drop_witness(now);
@@ -186,7 +194,7 @@
         }
     }
 
-    /// Acts on the passing of time.
+    /// Handles time-outs, batches that are due and heartbeats.
     pub fn tick(&mut self, now: Millis, out: &mut Vec<Action>) {
         if let Some(p) = self.pending
             && now.since(p.sent).0 >= self.policy.ack_ms
@@ -196,7 +204,7 @@
         self.send_due(now, out);
     }
 
-    /// Asks the witness for a fresh answer, whether or not there is anything to send.
+    /// Sends an append, even without changes, whose acknowledgement confirms the ownership.
     pub fn verify(&mut self, now: Millis, out: &mut Vec<Action>) {
         self.pending = None;
         self.header_sent = false;
@@ -204,7 +212,7 @@
         self.send_due(now, out);
     }
 
-    /// When [`Self::tick`] is next needed.
+    /// The time at which the next [`Self::tick`] is due.
     pub fn wake_at(&self, now: Millis) -> Millis {
         if let Some(p) = self.pending {
             return p.sent + Millis(self.policy.ack_ms);
@@ -220,22 +228,22 @@
         self.last_ack + Millis(self.policy.heartbeat_ms)
     }
 
-    /// Whether the answer of this append is awaited.
+    /// Whether this append is the one in flight.
     pub fn is_pending(&self, call: u64) -> bool {
         self.pending.is_some_and(|p| p.call == call)
     }
 
-    /// The host that holds the journal.
+    /// The current witness; `None` if no candidate is available.
     pub fn witness(&self) -> Option<&HostId> {
         self.witness.as_ref()
     }
 
-    /// Whether the witness holds all that there is.
+    /// Whether every change has been sent and no append is in flight.
     pub fn is_synced(&self) -> bool {
         self.dirty_since.is_none() && self.pending.is_none()
     }
 
-    /// Leaves the current witness out for a while.
+    /// Drops the current witness and excludes it for [`Policy::avoid_ms`].
     fn drop_witness(&mut self, now: Millis) {
         self.pending = None;
         let Some(host) = self.witness.take() else {
@@ -247,7 +255,7 @@
         self.avoided.push(FailedHost { host, until });
     }
 
-    /// Chooses a witness if there is none, and sends what is due.
+    /// Chooses a witness if there is none, and sends an append if one is due and none is in flight.
     fn send_due(&mut self, now: Millis, out: &mut Vec<Action>) {
         if self.witness.is_none() {
             self.choose_witness(now);
@@ -273,11 +281,11 @@
             call: self.calls,
         });
         self.header_sent = true;
-        // What is sent now is no longer outstanding; changes from here on are.
+        // This append contains every change made so far.
         self.dirty_since = None;
     }
 
-    /// Whether there is something to send, or the witness must hear of the owner.
+    /// Whether a batch or a heartbeat is due.
     fn is_due(&self, now: Millis) -> bool {
         match self.dirty_since {
             Some(dirty) => now.since(dirty).0 >= self.policy.batch_ms,
@@ -285,7 +293,7 @@
         }
     }
 
-    /// Takes the first candidate that has not failed lately.
+    /// Chooses the first candidate that is not excluded after a failure.
     fn choose_witness(&mut self, now: Millis) {
         self.avoided.retain(|a| a.until > now);
         let usable = |h: &&HostId| !self.avoided.iter().any(|a| a.host == **h);
@@ -297,7 +305,7 @@
         }
     }
 
-    /// Lets the tokens before `upto` be delivered.
+    /// Releases the tokens before `upto` for delivery.
     fn release(&mut self, upto: Offset, out: &mut Vec<Action>) {
         if upto > self.released {
             self.released = upto;
--- a/crates/journal/src/store.rs
+++ b/crates/journal/src/store.rs
@@ -1,4 +1,5 @@
-//! The journals that a host holds, for its own requests and as a witness for its peers.
+//! Bounded in-memory store of the journals on one host, both of its own requests and as a witness
+//! for other hosts.
 
 use base::prelude::*;
 use base::sorted::Sorted;
@@ -6,19 +7,20 @@
 
 use crate::record::{Append, FinishReason, Header, Refusal, Snapshot, StreamRef};
 
-/// Bounds on what a host holds.
+/// Bounds on the journals of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// The most bytes of tokens over all journals.
+    /// Maximum total size of the tokens of all journals, in bytes.
     pub bytes: usize,
-    /// The most journals.
+    /// Maximum number of journals.
     pub count: usize,
-    /// How long a journal without appends is held, in milliseconds.
+    /// How long a journal is kept after its last append, in milliseconds.
     pub idle_ms: u64,
-    /// How long a finished or sealed journal is held, in milliseconds.
+    /// How long a finished, closed or sealed journal is kept, in milliseconds.
     ///
-    /// It must exceed the longest pause after which an owner still trusts itself.
+    /// It must exceed the longest pause after which an owner delivers tokens without verifying its
+    /// ownership, so that a seal outlives the owner that it fences.
     pub retain_ms: u64,
 }
 
@@ -33,25 +35,25 @@
     }
 }
 
-/// One journal.
+/// The journal of one request, or a seal without a journal if the lineage is empty.
 #[derive(Clone, Debug, Default, Serialize)]
 struct Journal {
-    /// Appends below this ownership are refused.
+    /// Appends under a lower epoch are refused.
     fence: Epoch,
-    /// The ownership under which the last append was made.
+    /// Epoch of the last append.
     epoch: Epoch,
     header: Header,
     tokens: Vec<Token>,
     bytes: usize,
     finish: Option<FinishReason>,
-    /// Whether the caller has the whole answer.
+    /// Whether the complete output was delivered to the caller.
     closed: bool,
-    /// When the journal was last written or sealed.
+    /// When the journal was last appended to, sealed or closed.
     #[serde(rename = "touched")]
     last_used: Millis,
 }
 
-/// An engine stream whose owner has not been heard of.
+/// An engine stream whose owner has sent no append within [`Limits::idle_ms`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Orphan {
     /// The request.
@@ -60,31 +62,31 @@
     pub stream: StreamRef,
 }
 
-/// A journal as a state dump shows it.
+/// Summary of a journal for state dumps.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Summary {
     /// The request.
     pub key: RequestKey,
-    /// Appends below this ownership are refused.
+    /// Appends under a lower epoch are refused.
     pub fence: Epoch,
-    /// The generation under which the last token was written.
+    /// The last generation of its lineage.
     pub generation: GenerationId,
     /// The number of tokens.
     pub length: u64,
-    /// Whether the sequence is whole.
+    /// Whether the output is complete.
     pub finished: bool,
-    /// The engine stream last in use.
+    /// Name of the engine stream last in use.
     pub stream: Option<String>,
 }
 
-/// A journal on its way to another host.
+/// A journal to be handed over to another host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JournalCopy {
-    /// The whole journal, as one append under its epoch.
+    /// The full journal, as one append under its epoch.
     pub append: Append,
-    /// The ownership below which appends are refused, if that is higher than the journal's own.
+    /// The epoch of its seal; `None` if it has not been sealed since its last append.
     pub seal: Option<Epoch>,
-    /// Whether the caller has the whole answer.
+    /// Whether the complete output was delivered to the caller.
     pub closed: bool,
 }
 
@@ -98,7 +100,7 @@
 }
 
 impl Store {
-    /// An empty store.
+    /// Creates an empty store.
     pub fn new(limits: Limits) -> Self {
         Self {
             limits,
@@ -106,14 +108,16 @@
         }
     }
 
-    /// Adds tokens and returns the offset after the last one held.
+    /// Appends tokens to a journal and returns its length.
     ///
-    /// Tokens already held are passed over, so that an append may be sent twice.
+    /// Idempotent: tokens that the journal already contains are skipped, so that an append may be
+    /// retried.
     ///
     /// # Errors
     ///
-    /// `Sealed` under a lower epoch than the fence, `Gap` if tokens are missing before these,
-    /// `Full` and `Leaving` if the host takes no more.
+    /// `Sealed` if the epoch is lower than the fence, `Gap` if the append starts after the end of
+    /// the journal, `Full` if a bound in [`Limits`] is reached, `Leaving` if the append would start
+    /// a journal on a host that leaves.
     pub fn append(&mut self, now: Millis, append: Append) -> Result<Offset, Refusal> {
         self.evict_closed(&append);
         let known = self.journals.get(&append.key);
@@ -127,7 +131,8 @@
             return Err(Refusal::Leaving);
         }
         let held = known.filter(|_| !is_new).map_or(0, |j| j.tokens.len());
-        // A copy that another host has handed over may be older than what is held.
+        // A journal handed over by another host may be older than the one here; its header is then
+        // ignored.
         let is_stale = append.from.0 + (append.tokens.len() as u64) < held as u64;
         if append.from.0 > held as u64 {
             return Err(Refusal::Gap(Offset(held as u64)));
@@ -142,7 +147,8 @@
         }
         let journal = self.journals.entry(append.key, Journal::default);
         if is_new {
-            // A new owner writes its journal from the start; the old one must not show through.
+            // A new owner writes its journal from offset 0; no tokens of the previous owner may
+            // remain.
             self.bytes -= journal.bytes;
             *journal = Journal::default();
         }
@@ -161,12 +167,13 @@
         Ok(Offset(journal.tokens.len() as u64))
     }
 
-    /// Adds tokens of another host's request.
+    /// Appends tokens to the journal of another host's request, as its witness.
     ///
     /// # Errors
     ///
-    /// As [`Self::append`]; `Leaving` for any append once the host leaves, so that the owner
-    /// chooses another witness while this one can still be asked.
+    /// As [`Self::append`], and `Leaving` for any append that is not fenced off once the host
+    /// leaves, so that the owner switches to another witness while takeovers can still reach this
+    /// one.
     pub fn append_remote(&mut self, now: Millis, append: Append) -> Result<Offset, Refusal> {
         let fence = self.fence(&append.key).unwrap_or_default();
         if self.is_leaving && append.epoch >= fence {
@@ -175,12 +182,12 @@
         self.append(now, append)
     }
 
-    /// The requests of which journals are held.
+    /// The requests with a journal or a seal.
     pub fn keys(&self) -> impl Iterator<Item = &RequestKey> {
         self.journals.iter().map(|(key, _)| key)
     }
 
-    /// A journal for another host to hold; `None` if there is nothing to hand over.
+    /// A journal to hand over to another host; `None` if there is none, or only a seal.
     pub fn copy(&self, key: &RequestKey) -> Option<JournalCopy> {
         let journal = self.journals.get(key)?;
         if journal.header.lineage.is_empty() {
@@ -203,8 +210,8 @@
         })
     }
 
-    /// Drops journals whose callers have their whole answer, the oldest first, as far as `append`
-    /// needs their room.
+    /// Evicts closed journals, least recently used first, until `append` fits within the limits or
+    /// none is left.
     fn evict_closed(&mut self, append: &Append) {
         let is_new = self.journals.get(&append.key).is_none();
         let added: usize = append.tokens.iter().map(Token::size).sum();
@@ -221,14 +228,16 @@
         }
     }
 
-    /// Refuses appends below `epoch` from now on, and returns the journal as it stands.
+    /// Raises the fence to `epoch`, so that appends under lower epochs are refused, and returns a
+    /// snapshot of the journal.
     ///
-    /// A key without a journal is sealed too, so that an owner that was paused cannot start one.
+    /// A key without a journal is sealed too, so that a previous owner that was paused cannot start
+    /// one. A retry under the same epoch succeeds again.
     ///
     /// # Errors
     ///
-    /// `Sealed` if the epoch is not higher than that of the journal, or a higher one was seen;
-    /// `OtherRequest` if the journal is that of a request with another digest.
+    /// `Sealed` if the epoch is not higher than that of the journal, or lower than the fence;
+    /// `OtherRequest` if the journal belongs to a request with another digest.
     pub fn seal(
         &mut self,
         now: Millis,
@@ -257,12 +266,13 @@
         }))
     }
 
-    /// The ownership below which appends to `key` are refused.
+    /// The epoch below which appends to `key` are refused; `None` without a journal or seal.
     pub fn fence(&self, key: &RequestKey) -> Option<Epoch> {
         self.journals.get(key).map(|j| j.fence)
     }
 
-    /// Marks a journal whose caller has the whole answer.
+    /// Marks a journal whose complete output was delivered; it may then be evicted. Ignored under
+    /// an epoch other than the journal's.
     pub fn close(&mut self, now: Millis, key: &RequestKey, epoch: Epoch) {
         if let Some(journal) = self.journals.get_mut(key)
             && journal.epoch == epoch
@@ -272,7 +282,8 @@
         }
     }
 
-    /// Drops what has been held long enough and returns the engine streams left behind.
+    /// Removes expired journals and returns the engine streams to cancel: those of journals that
+    /// were neither finished, closed nor sealed.
     pub fn expire(&mut self, now: Millis) -> Vec<Orphan> {
         let limits = self.limits;
         let mut orphans = Vec::new();
@@ -301,27 +312,27 @@
         orphans
     }
 
-    /// Takes no new journals from now on.
+    /// Refuses new journals from now on, and appends from other hosts.
     pub fn leave(&mut self) {
         self.is_leaving = true;
     }
 
-    /// The bytes of tokens held.
+    /// Total size of the tokens of all journals, in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// How many journals are held.
+    /// Number of journals, seals without a journal included.
     pub fn len(&self) -> usize {
         self.journals.len()
     }
 
-    /// Whether no journal is held.
+    /// Whether there is neither a journal nor a seal.
     pub fn is_empty(&self) -> bool {
         self.journals.is_empty()
     }
 
-    /// The journals, for a state dump.
+    /// Summaries of all journals, for state dumps.
     pub fn summaries(&self) -> impl Iterator<Item = Summary> {
         self.journals.iter().map(|(key, j)| Summary {
             key: key.clone(),
--- a/crates/journal/tests/fault_regressions.rs
+++ b/crates/journal/tests/fault_regressions.rs
@@ -1,4 +1,7 @@
-//! Journals under pressure for room, as experiments with real processes bring it about.
+//! Regression tests for a store at its limits, which fault experiments with real processes reached.
+//!
+//! Guards against refusing appends with `Full` while closed journals, which nobody needs, still
+//! fill the store.
 
 use base::prelude::*;
 use journal::record::{Append, Header, Refusal, Segment};
@@ -29,7 +32,7 @@
     }
 }
 
-/// A store that is full with journals `a` and `b`.
+/// A store that the journals `a` and `b` fill to a limit.
 fn full(limits: Limits) -> Store {
     let mut store = Store::new(limits);
     for key in ["a", "b"] {
--- a/crates/journal/tests/scenarios.rs
+++ b/crates/journal/tests/scenarios.rs
@@ -1,12 +1,12 @@
-//! Scripted scenarios of the witness log and of the owner's side.
+//! Scripted scenarios of the journal store and of the replicator.
 
 mod scripts;
 
-use scripts::replica::ReplicaScript;
+use scripts::replicator::ReplicatorScript;
 use scripts::store::StoreScript;
 
 #[test]
-fn witness_store() {
+fn journal_store() {
     datadriven::walk("tests/store", |file| {
         let mut script = StoreScript::default();
         file.run(|case| script.run(case));
@@ -14,9 +14,9 @@
 }
 
 #[test]
-fn owner_replica() {
+fn replicator() {
     datadriven::walk("tests/replica", |file| {
-        let mut script = ReplicaScript::default();
+        let mut script = ReplicatorScript::default();
         file.run(|case| script.run(case));
     });
 }
--- a/crates/journal/tests/scripts/replica.rs
+++ b/crates/journal/tests/scripts/replicator.rs
@@ -1,4 +1,4 @@
-//! Commands for the owner's side.
+//! Commands for the replicator.
 
 use base::prelude::*;
 use datadriven::TestCase;
@@ -7,13 +7,13 @@
 
 use super::{epoch, now, number, text};
 
-/// The replica under test.
+/// The replicator under test.
 #[derive(Default)]
-pub(crate) struct ReplicaScript {
-    replica: Option<Replicator>,
+pub(crate) struct ReplicatorScript {
+    replicator: Option<Replicator>,
 }
 
-impl ReplicaScript {
+impl ReplicatorScript {
     /// Runs one command and returns its output.
     pub(crate) fn run(&mut self, case: &TestCase) -> String {
         let now = now(case);
@@ -25,27 +25,27 @@
                 required: case.args.contains_key("required"),
                 ..Policy::default()
             };
-            self.replica = Some(Replicator::new(now, policy, hosts(case)));
+            self.replicator = Some(Replicator::new(now, policy, hosts(case)));
             return String::new();
         }
-        let replica = self.replica.as_mut().expect("`new` comes first");
+        let replicator = self.replicator.as_mut().expect("`new` comes first");
         match case.directive.as_str() {
             "grow" => {
                 let length = Offset(number(case, "to").expect("`to=` is given"));
                 let is_whole = case.args.contains_key("whole");
-                replica.grow(now, length, is_whole, &mut out);
+                replicator.grow(now, length, is_whole, &mut out);
             }
-            "touch" => replica.header_changed(now, &mut out),
-            "verify" => replica.verify(now, &mut out),
+            "touch" => replicator.header_changed(now, &mut out),
+            "verify" => replicator.verify(now, &mut out),
             "ack" => {
                 let held = Offset(number(case, "held").expect("`held=` is given"));
-                replica.on_ack(now, call, held, &mut out);
+                replicator.on_ack(now, call, held, &mut out);
             }
-            "refuse" => replica.on_refused(now, call, refusal(case), &mut out),
-            "fail" => replica.on_failed(now, call, &mut out),
-            "hosts" => replica.set_candidates(now, hosts(case), &mut out),
-            "tick" => replica.tick(now, &mut out),
-            "wake" => return format!("{}\n", replica.wake_at(now)),
+            "refuse" => replicator.on_refused(now, call, refusal(case), &mut out),
+            "fail" => replicator.on_failed(now, call, &mut out),
+            "hosts" => replicator.set_candidates(now, hosts(case), &mut out),
+            "tick" => replicator.tick(now, &mut out),
+            "wake" => return format!("{}\n", replicator.wake_at(now)),
             other => panic!("there is no command `{other}`"),
         }
         out.iter().map(line).collect()
--- a/crates/journal/tests/scripts/store.rs
+++ b/crates/journal/tests/scripts/store.rs
@@ -1,4 +1,4 @@
-//! Commands for the witness log.
+//! Commands for the journal store.
 
 use base::prelude::*;
 use datadriven::TestCase;
@@ -86,7 +86,8 @@
     RequestKey(text(case, "key").unwrap_or_else(|| "a".to_owned()))
 }
 
-/// Tokens of one byte each; the header names a stream after the generation.
+/// An append of tokens with one byte of text each; its header, if any, names the stream after the
+/// generation.
 fn append(case: &TestCase) -> Append {
     let count = number(case, "tokens").unwrap_or(0);
     let token = |i: u64| Token {
--- a/crates/journal/tests/take_over.rs
+++ b/crates/journal/tests/take_over.rs
@@ -1,4 +1,5 @@
-//! Which journal a takeover continues, and whether the caller's place is in it.
+//! The journal that a takeover continues, whether it covers the caller's tokens, and the hosts that
+//! are asked for it.
 
 use base::prelude::*;
 use journal::choice::{Peer, candidates, latest, takeover_hosts};
@@ -38,14 +39,14 @@
 }
 
 #[test]
-fn caller_place() {
+fn covered_caller_offsets() {
     let header = lineage(&[(1, 0), (2, 10)]);
     let covers =
         |generation, offset| header.covers(GenerationId(generation), Offset(offset), Offset(15));
     assert!(covers(1, 10));
     assert!(
         !covers(1, 11),
-        "the first owner went on beyond the takeover"
+        "the first owner continued beyond the takeover"
     );
     assert!(covers(2, 15));
     assert!(!covers(2, 16), "the caller is ahead of the journal");
@@ -53,7 +54,7 @@
 }
 
 #[test]
-fn witness_among_holders() {
+fn witness_among_takeover_hosts() {
     let key = RequestKey::from("w/k");
     let host = |i: usize| HostId(format!("host-{i}"));
     let peers_of = |me: usize| -> Vec<Peer> {
