--- a/crates/gooseberry-agent/src/drain.rs
+++ b/crates/gooseberry-agent/src/drain.rs
@@ -40,7 +40,7 @@
 /// Whether the router of this host takes connections.
 async fn has_router(agent: &Agent) -> bool {
     let own = agent.members(|m| m.own().clone());
-    if !own.is_placed {
+    if !own.place_confirmed {
         return false;
     }
     let connected = timeout(CONNECT_LIMIT, TcpStream::connect(own.place.router)).await;
--- a/crates/gooseberry-agent/src/gauges.rs
+++ b/crates/gooseberry-agent/src/gauges.rs
@@ -27,7 +27,10 @@
     let (hosts, backends, leaving) = agent.members(|m| {
         let hosts = m.hosts().filter(|(_, h)| h.is_usable()).count();
         let backends = m.backends().filter(|(_, b)| b.is_alive()).count();
-        let leaving = m.backends().filter(|(_, b)| b.life.is_leaving()).count();
+        let leaving = m
+            .backends()
+            .filter(|(_, b)| b.lifecycle.is_leaving())
+            .count();
         (hosts, backends, leaving)
     });
     [
--- a/crates/gooseberry-agent/src/heartbeats.rs
+++ b/crates/gooseberry-agent/src/heartbeats.rs
@@ -6,7 +6,7 @@
 
 use base::prelude::*;
 use base::sorted::Sorted;
-use membership::Beat;
+use membership::Heartbeat;
 use membership::members::Action;
 use peer::link::AgentLink;
 
@@ -44,7 +44,7 @@
         for action in actions {
             let agent = agent.clone();
             match action {
-                Action::Beat { host, addr } => tokio::spawn(async move {
+                Action::Heartbeat { host, addr } => tokio::spawn(async move {
                     beat(&agent, host, addr).await;
                 }),
                 Action::Poll { backend, addr } => tokio::spawn(async move {
@@ -56,22 +56,22 @@
 }
 
 /// Answers the heartbeat of another agent.
-pub fn answer(agent: &Agent, beat: Beat) -> Beat {
+pub fn answer(agent: &Agent, beat: Heartbeat) -> Heartbeat {
     let now = agent.timer.now();
     agent.members(|m| {
         let from = beat.host.clone();
-        m.heard(now, beat);
-        m.beat(now, &from)
+        m.receive(now, beat);
+        m.heartbeat(now, &from)
     })
 }
 
 /// Exchanges heartbeats with one agent.
 async fn beat(agent: &Agent, host: HostId, addr: SocketAddr) {
-    let question = agent.members(|m| m.beat(agent.timer.now(), &host));
+    let question = agent.members(|m| m.heartbeat(agent.timer.now(), &host));
     let link = agent.links.get(addr);
     // The silence of a host is judged by the time since its last answer.
     if let Ok(answer) = link.heartbeat(question, BEAT_LIMIT).await {
-        agent.members(|m| m.heard(agent.timer.now(), answer));
+        agent.members(|m| m.receive(agent.timer.now(), answer));
     }
 }
 
@@ -80,5 +80,5 @@
     let limit = Millis(agent.settings.load_ms * 2).duration();
     let answer = engine::client::load(addr, limit).await;
     let answer = answer.ok().map(report);
-    agent.members(|m| m.polled(agent.timer.now(), &backend, answer));
+    agent.members(|m| m.apply_poll_result(agent.timer.now(), &backend, answer));
 }
--- a/crates/gooseberry-agent/src/members.rs
+++ b/crates/gooseberry-agent/src/members.rs
@@ -58,15 +58,15 @@
 pub fn host_views(members: &Members) -> Vec<HostView> {
     let mut views: Vec<HostView> = members.hosts().map(|(id, h)| host_view(id, h)).collect();
     let own = members.own();
-    if own.is_placed {
+    if own.place_confirmed {
         let place = &own.place;
         views.push(HostView {
             host: own.host.clone(),
             data_centre: place.data_centre.clone(),
             router: place.router,
             agent: place.agent,
-            incarnation: own.life.incarnation,
-            leaving: own.life.leaving,
+            incarnation: own.lifecycle.incarnation,
+            leaving: own.lifecycle.leaving,
             alive: true,
         });
     }
@@ -80,8 +80,8 @@
         data_centre: host.place.data_centre.clone(),
         router: host.place.router,
         agent: host.place.agent,
-        incarnation: host.life.incarnation,
-        leaving: host.life.is_leaving(),
+        incarnation: host.lifecycle.incarnation,
+        leaving: host.lifecycle.is_leaving(),
         alive: host.is_usable(),
     }
 }
@@ -101,8 +101,8 @@
         service: listed.service.clone(),
         data_centre: listed.data_centre.clone(),
         addr: listed.addr,
-        incarnation: backend.life.incarnation,
-        leaving: backend.life.is_leaving(),
+        incarnation: backend.lifecycle.incarnation,
+        leaving: backend.lifecycle.is_leaving(),
         alive: backend.is_alive(),
         running: report.running,
         queued: report.queued,
--- a/crates/gooseberry-agent/src/shared.rs
+++ b/crates/gooseberry-agent/src/shared.rs
@@ -5,7 +5,7 @@
 use base::prelude::*;
 use base::sorted::Sorted;
 use membership::listed::Place;
-use membership::own::Own;
+use membership::own::OwnHost;
 use membership::{Members, Policy};
 use peer::agent::View;
 use profiles::held::Held;
@@ -60,7 +60,7 @@
         let incarnation = Incarnation(rand::random());
         let own = own(&settings, timer.now(), incarnation);
         let policy = Policy {
-            poll: Millis(settings.load_ms),
+            poll_min: Millis(settings.load_ms),
             ..Policy::default()
         };
         Self {
@@ -102,7 +102,7 @@
 
     /// Whether this host takes no new work.
     pub fn is_leaving(&self) -> bool {
-        self.members(|m| m.own().life.leaving)
+        self.members(|m| m.own().lifecycle.leaving)
     }
 
     /// Waits until this host takes no new work.
@@ -132,7 +132,7 @@
         self.members(|m| m.refresh(now));
         let revision = *self.revision.borrow();
         let (hosts, mut backends, drain) = self.members(|m| {
-            let leaving = m.own().life.leaving;
+            let leaving = m.own().lifecycle.leaving;
             (host_views(m), backend_views(m, now), leaving)
         });
         self.read(|known| {
@@ -155,13 +155,13 @@
 }
 
 /// The host of an agent; where its router is, the host list tells.
-fn own(settings: &Settings, now: Millis, incarnation: Incarnation) -> Own {
+fn own(settings: &Settings, now: Millis, incarnation: Incarnation) -> OwnHost {
     let place = Place {
         data_centre: settings.data_centre.clone(),
         router: settings.listen.peers,
         agent: settings.listen.peers,
     };
-    Own::new(now, settings.host.clone(), place, incarnation)
+    OwnHost::new(now, settings.host.clone(), place, incarnation)
 }
 
 /// A shared agent.
--- a/crates/gooseberry-agent/src/watch.rs
+++ b/crates/gooseberry-agent/src/watch.rs
@@ -16,7 +16,7 @@
         };
         let now = agent.timer.now();
         let (hosts, backends) = (listed_hosts(&list.hosts), listed_backends(&list.hosts));
-        agent.members(|m| m.listed(now, &hosts, &backends));
+        agent.members(|m| m.apply_host_list(now, &hosts, &backends));
         agent.change(|known| {
             known.hosts = list;
             false
--- a/crates/gooseberry-gateway/src/context.rs
+++ b/crates/gooseberry-gateway/src/context.rs
@@ -138,8 +138,8 @@
             self.budget(job, |b| ((b.requests(now)[0], b.repeats(now)), *b.others()));
         tracing::info!(
             id = %job.call.id, service = %job.plan.service, waited_ms = waited.0, requests = own.0,
-            repeats = own.1, hosts = others.heard, known = others.known, all_requests = others.requests[0] + own.0,
-            all_repeats = others.repeats + own.1, waiting = others.waiting, "no repeat left in the budget"
+            repeats = own.1, hosts = others.reporting, known = others.known, all_requests = others.requests[0] + own.0,
+            all_repeats = others.retries + own.1, waiting = others.waiting, "no repeat left in the budget"
         );
     }
 
--- a/crates/gooseberry-gateway/src/fleet.rs
+++ b/crates/gooseberry-gateway/src/fleet.rs
@@ -170,7 +170,7 @@
 
     /// Whether the registry does not answer now.
     pub fn is_away(&self) -> bool {
-        self.lock().roster.is_away()
+        self.lock().roster.is_unavailable()
     }
 
     /// Whether a server has been there without a break since `since`, as far as is known.
--- a/crates/gooseberry-gateway/src/gossip.rs
+++ b/crates/gooseberry-gateway/src/gossip.rs
@@ -31,12 +31,12 @@
         let messages = {
             let mut gossip = ctx.gossip();
             let mut messages = gossip.digest(now, usage);
-            messages.extend(gossip.centre(now));
-            messages.extend(gossip.lost_servers(now));
+            messages.extend(gossip.centre_sums(now));
+            messages.extend(gossip.failed_servers(now));
             messages
         };
         // A host that a hub serves waits for its answer.
-        if !ctx.gossip().is_served(now) {
+        if !ctx.gossip().has_hub_answer(now) {
             exchange(&ctx, now);
         }
         send(&socket, &messages).await;
@@ -78,7 +78,7 @@
         usage.push(Usage {
             service: short(name.as_str()),
             requests: budget.requests(now).map(saturated),
-            repeats: saturated(budget.repeats(now)),
+            retries: saturated(budget.repeats(now)),
             waiting: u32::from(budget.waiting() > 0),
         });
     }
@@ -93,7 +93,7 @@
 fn exchange(ctx: &Context, now: Millis) {
     let gossip = ctx.gossip();
     for (name, budget) in ctx.budgets().iter_mut() {
-        if let Some(shared) = gossip.shared(now, short(name.as_str())) {
+        if let Some(shared) = gossip.shared_usage(now, short(name.as_str())) {
             budget.exchanged(shared);
         }
     }
@@ -126,15 +126,15 @@
         }
     };
     let now = ctx.now();
-    let heard = ctx.gossip().heard(now, from, &message);
-    for lost in &heard.lost {
+    let heard = ctx.gossip().receive(now, from, &message);
+    for lost in &heard.failed {
         let at = now - Millis(u64::from(lost.age));
         ctx.servers.doubt(lost.server, at, now);
     }
-    if heard.is_answered {
+    if heard.answers_digest {
         exchange(ctx, now);
     }
-    if heard.is_news {
+    if heard.notify_hubs {
         ctx.wake_gossip.notify_one();
     }
     heard.answer
--- a/crates/gooseberry-gateway/src/hosts.rs
+++ b/crates/gooseberry-gateway/src/hosts.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use base::prelude::*;
-use membership::gossip::Listed;
+use membership::gossip::ListedPeer;
 use platform::store::{self, Row, Table};
 use serde::{Deserialize, Serialize};
 
@@ -35,7 +35,7 @@
 }
 
 /// Writes this host's row and reads the others', for ever.
-pub async fn register(ctx: Arc<Context>, mut store: Store, own: Listed) {
+pub async fn register(ctx: Arc<Context>, mut store: Store, own: ListedPeer) {
     let entry = Entry {
         peers: own.addr,
         data_centre: own.data_centre,
@@ -80,7 +80,7 @@
         store.write(Table::Hosts, key, Some(value), LIMIT).await?;
     }
     let mut after: Option<String> = None;
-    let mut hosts: Vec<Listed> = Vec::new();
+    let mut hosts: Vec<ListedPeer> = Vec::new();
     loop {
         let path = store::read_path(Table::Hosts, after.as_deref());
         let rows = store.rows(&path, LIMIT).await?;
@@ -92,15 +92,15 @@
         }
         after = rows.rows.last().map(|r| r.key.clone());
         if !rows.is_partial || after.is_none() {
-            ctx.gossip().listed(hosts);
+            ctx.gossip().set_hosts(hosts);
             return Ok(());
         }
     }
 }
 
-fn listed(row: &Row) -> Result<Listed, serde_json::Error> {
+fn listed(row: &Row) -> Result<ListedPeer, serde_json::Error> {
     let entry: Entry = serde_json::from_slice(row.value.as_deref().unwrap_or_default())?;
-    Ok(Listed {
+    Ok(ListedPeer {
         host: HostId::from(row.key.as_str()),
         data_centre: entry.data_centre,
         addr: entry.peers,
--- a/crates/gooseberry-gateway/src/liveness.rs
+++ b/crates/gooseberry-gateway/src/liveness.rs
@@ -40,7 +40,7 @@
 /// Leaves a server out and tells the other hosts.
 fn found_gone(ctx: &Context, id: &BackendId, now: Millis) {
     ctx.servers.lost(id, now);
-    ctx.gossip().lost(now, short(id.as_str()));
+    ctx.gossip().server_failed(now, short(id.as_str()));
     ctx.wake_gossip.notify_one();
 }
 
--- a/crates/gooseberry-gateway/src/run.rs
+++ b/crates/gooseberry-gateway/src/run.rs
@@ -10,7 +10,7 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response, StatusCode, body::Incoming};
 use hyper_util::rt::TokioIo;
-use membership::gossip::{Gossip, Listed};
+use membership::gossip::{Gossip, ListedPeer};
 use platform::store::Table;
 use relay::Budget;
 use settings::gateway::{Gateway as Settings, Listen};
@@ -146,7 +146,7 @@
     tasks.spawn(hosts::register(
         Arc::clone(&ctx),
         store(),
-        Listed {
+        ListedPeer {
             host: host.clone(),
             data_centre,
             addr: peers,
--- a/crates/gooseberry-gateway/src/sync.rs
+++ b/crates/gooseberry-gateway/src/sync.rs
@@ -107,7 +107,7 @@
 
     /// Waits for changes at the store.
     async fn ask_store(&mut self, revision: u64) -> Result<(), CallError> {
-        let (wait, gather) = if self.ctx.gossip().serves() {
+        let (wait, gather) = if self.ctx.gossip().has_members() {
             (HUB_WAIT, HUB_GATHER_PERCENT)
         } else {
             (WAIT, GATHER_PERCENT)
@@ -217,7 +217,7 @@
                 .servers
                 .lock()
                 .roster
-                .keep_only(&listed, revision, now);
+                .retain_listed(&listed, revision, now);
             for id in missing {
                 tracing::info!(server = %id, revision, "server is missing from a whole reading");
             }
@@ -311,7 +311,7 @@
             tracing::warn!(table, %error, "store lost; what is held stays in force");
         }
         if self.table == Table::Servers {
-            self.ctx.servers.lock().roster.lost();
+            self.ctx.servers.lock().roster.registry_unavailable();
         }
     }
 
@@ -319,7 +319,7 @@
         let now = self.ctx.now();
         if self.table == Table::Servers {
             let mut fleet = self.ctx.servers.lock();
-            fleet.roster.reached(now);
+            fleet.roster.registry_available(now);
             fleet.sweep(now);
         }
         if std::mem::take(&mut self.is_lost) {
--- a/crates/gooseberry-router/src/drive/journalling.rs
+++ b/crates/gooseberry-router/src/drive/journalling.rs
@@ -58,8 +58,8 @@
             None => self.replica.failed(now, acked.call, &mut actions),
         }
         self.carry_out_replica(actions);
-        let is_confirmed = is_expected && matches!(acked.answer, Some(Ok(_)));
-        if self.is_verifying && (is_confirmed || self.replica.witness().is_none()) {
+        let place_confirmed = is_expected && matches!(acked.answer, Some(Ok(_)));
+        if self.is_verifying && (place_confirmed || self.replica.witness().is_none()) {
             self.is_verifying = false;
             self.tell(Event::Verified);
         }
--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -19,29 +19,29 @@
 use base::prelude::*;
 use base::sorted::Sorted;
 
-pub use message::{Body, Lost, Message, Usage, WINDOWS};
+pub use message::{Body, FailedServer, Message, Usage, WINDOWS};
 
 /// What was not told anew for this time is forgotten.
-const FRESH: Millis = Millis(2_000);
+const REPORT_TTL: Millis = Millis(2_000);
 
 /// The hub is taken as silent after this time without an answer; more than the period of digests.
-const SILENT: Millis = Millis(700);
+const HUB_TIMEOUT: Millis = Millis(700);
 
 /// How often a hub that fell silent is asked whether it is back.
-const RETRY: Millis = Millis(2_500);
+const PROBE_INTERVAL: Millis = Millis(2_500);
 
 /// The hosts of each other data centre, in the order of hubs, that are told the sums of this one.
-const HUBS: usize = 2;
+const HUBS_PER_CENTRE: usize = 2;
 
 /// The lost servers that one message names at most, so that it fits a datagram.
-const MAX_LOST: usize = 48;
+const MAX_FAILED: usize = 48;
 
 /// How long a lost server is told of.
-const TELL_LOST: Millis = Millis(1_500);
+const FAILED_TTL: Millis = Millis(1_500);
 
 /// A host as the store lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listed {
+pub struct ListedPeer {
     /// Its name.
     pub host: HostId,
     /// Where it stands.
@@ -52,15 +52,15 @@
 
 /// The sums of one service over the hosts that are heard of.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Shared {
+pub struct SharedUsage {
     /// The hosts that are heard of, this one included.
-    pub heard: u64,
+    pub reporting: u64,
     /// The hosts that are known, this one included.
     pub known: u64,
     /// The requests of the others, in each of the windows.
     pub requests: [u64; WINDOWS],
     /// The repeats of the others.
-    pub repeats: u64,
+    pub retries: u64,
     /// The hosts that have told of requests that wait for a repeat, this one included.
     pub waiting: u64,
     /// How many of these come before this host; `None` if this one has told of none.
@@ -69,24 +69,24 @@
 
 /// What follows from a message.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Heard {
+pub struct Received {
     /// The lost servers that it names.
-    pub lost: Vec<Lost>,
+    pub failed: Vec<FailedServer>,
     /// A message that follows, and where it goes.
     pub answer: Option<(SocketAddr, Message)>,
     /// Whether it answers this host's last digest, so that the sums over the others are new.
-    pub is_answered: bool,
+    pub answers_digest: bool,
     /// Whether the other hubs are to be told soon.
-    pub is_news: bool,
+    pub notify_hubs: bool,
 }
 
 /// What a host was told by another, and when.
 #[derive(Clone, Debug)]
-struct Told {
+struct PeerReport {
     addr: SocketAddr,
     incarnation: Incarnation,
     seq: u64,
-    at: Millis,
+    received_at: Millis,
     hosts: u32,
     usage: Vec<Usage>,
 }
@@ -100,8 +100,8 @@
 
 /// A hub's last answer.
 #[derive(Clone, Debug)]
-struct Answer {
-    at: Millis,
+struct HubAnswer {
+    received_at: Millis,
     hosts: u32,
     usage: Vec<Usage>,
     ranks: Vec<u32>,
@@ -115,25 +115,25 @@
     incarnation: Incarnation,
     seq: u64,
     /// The other hosts that the store lists, in the order of hubs.
-    listed: Vec<Listed>,
+    listed: Vec<ListedPeer>,
     /// The hosts that this one serves as their hub.
-    members: Sorted<HostId, Told>,
+    members: Sorted<HostId, PeerReport>,
     /// The other hubs.
-    hubs: Sorted<HostId, Told>,
+    hubs: Sorted<HostId, PeerReport>,
     /// The hosts that did not answer, and when they are asked next.
-    silent: Sorted<HostId, Millis>,
+    unresponsive: Sorted<HostId, Millis>,
     /// Whether the other hubs were told last that this host serves some.
-    has_served: bool,
+    has_announced: bool,
     /// Since when the hub owes an answer.
-    owes: Option<Millis>,
+    pending_since: Option<Millis>,
     /// The number of the last digest.
     digest: u64,
-    answer: Option<Answer>,
-    lost: Vec<(u32, Millis)>,
+    answer: Option<HubAnswer>,
+    failed: Vec<(u32, Millis)>,
     /// Whether the hosts that this one serves are to be told of a lost server.
-    has_lost: bool,
+    failures_pending: bool,
     /// What this host told last of its own use.
-    told: Vec<Usage>,
+    own_usage: Vec<Usage>,
     /// Whether the list of hosts was read.
     is_listed: bool,
     /// Whether this host stops and serves no other any more.
@@ -152,9 +152,11 @@
     }
 
     /// Takes in the whole list of hosts.
-    pub fn listed(&mut self, mut hosts: Vec<Listed>) {
+    pub fn set_hosts(&mut self, mut hosts: Vec<ListedPeer>) {
         hosts.retain(|l| l.host != self.host);
-        hosts.sort_by(|a, b| order(&a.data_centre, &a.host).cmp(&order(&b.data_centre, &b.host)));
+        hosts.sort_by(|a, b| {
+            hub_order(&a.data_centre, &a.host).cmp(&hub_order(&b.data_centre, &b.host))
+        });
         self.listed = hosts;
         self.is_listed = true;
     }
@@ -165,67 +167,71 @@
     }
 
     /// The hub that serves this host, if it is another one.
-    pub fn hub(&self) -> Option<&Listed> {
-        let own = order(&self.data_centre, &self.host);
-        let mut here = self.here();
-        here.find(|l| order(&l.data_centre, &l.host) < own && self.silent.get(&l.host).is_none())
+    pub fn hub(&self) -> Option<&ListedPeer> {
+        let own = hub_order(&self.data_centre, &self.host);
+        let mut local = self.local_hosts();
+        local.find(|l| {
+            hub_order(&l.data_centre, &l.host) < own && self.unresponsive.get(&l.host).is_none()
+        })
     }
 
     /// Whether the sums come from another hub, which has answered lately.
-    pub fn is_served(&self, now: Millis) -> bool {
-        !self.is_hub() && self.fresh(now).is_some()
+    pub fn has_hub_answer(&self, now: Millis) -> bool {
+        !self.is_hub() && self.fresh_answer(now).is_some()
     }
 
-    fn fresh(&self, now: Millis) -> Option<&Answer> {
-        self.answer.as_ref().filter(|a| now.since(a.at) < FRESH)
+    fn fresh_answer(&self, now: Millis) -> Option<&HubAnswer> {
+        self.answer
+            .as_ref()
+            .filter(|a| now.since(a.received_at) < REPORT_TTL)
     }
 
     /// Whether other hosts take this one as their hub.
-    pub fn serves(&self) -> bool {
+    pub fn has_members(&self) -> bool {
         !self.members.is_empty()
     }
 
-    fn here(&self) -> impl Iterator<Item = &Listed> {
-        let is_here = |l: &&Listed| l.data_centre == self.data_centre;
-        self.listed.iter().filter(is_here)
+    fn local_hosts(&self) -> impl Iterator<Item = &ListedPeer> {
+        let is_local = |l: &&ListedPeer| l.data_centre == self.data_centre;
+        self.listed.iter().filter(is_local)
     }
 
     /// Notes the own use, and tells it to the hub; a hub has the sums itself and tells nobody.
     pub fn digest(&mut self, now: Millis, usage: Vec<Usage>) -> Vec<(SocketAddr, Message)> {
-        self.told = usage;
+        self.own_usage = usage;
         self.expire(now);
-        if let (Some(since), Some(hub)) = (self.owes, self.hub())
-            && now.since(since) >= SILENT
+        if let (Some(since), Some(hub)) = (self.pending_since, self.hub())
+            && now.since(since) >= HUB_TIMEOUT
         {
             let host = hub.host.clone();
-            self.silent.insert(host, now + RETRY);
-            self.owes = None;
+            self.unresponsive.insert(host, now + PROBE_INTERVAL);
+            self.pending_since = None;
         }
         let mut addrs: Vec<SocketAddr> = self.hub().map(|h| h.addr).into_iter().collect();
         if !addrs.is_empty() {
-            self.owes.get_or_insert(now);
+            self.pending_since.get_or_insert(now);
         }
-        addrs.extend(self.overdue(now));
+        addrs.extend(self.probes_due(now));
         if addrs.is_empty() {
             return Vec::new();
         }
-        let message = self.message(now, Body::Digest(self.told.clone()));
+        let message = self.message(now, Body::Digest(self.own_usage.clone()));
         self.digest = message.seq;
         to_each(addrs, &message)
     }
 
     /// Silent hosts of this data centre that are to be asked again.
-    fn overdue(&mut self, now: Millis) -> Vec<SocketAddr> {
+    fn probes_due(&mut self, now: Millis) -> Vec<SocketAddr> {
         let mut addrs = Vec::new();
         for listed in self
             .listed
             .iter()
             .filter(|l| l.data_centre == self.data_centre)
         {
-            if let Some(next) = self.silent.get_mut(&listed.host)
+            if let Some(next) = self.unresponsive.get_mut(&listed.host)
                 && now >= *next
             {
-                *next = now + RETRY;
+                *next = now + PROBE_INTERVAL;
                 addrs.push(listed.addr);
             }
         }
@@ -233,12 +239,12 @@
     }
 
     /// What a hub tells the other hubs, and where it goes.
-    pub fn centre(&mut self, now: Millis) -> Vec<(SocketAddr, Message)> {
+    pub fn centre_sums(&mut self, now: Millis) -> Vec<(SocketAddr, Message)> {
         self.expire(now);
-        let serves = self.is_hub() || !self.members.is_empty();
-        let has_served = std::mem::replace(&mut self.has_served, serves);
+        let announces = self.is_hub() || !self.members.is_empty();
+        let has_announced = std::mem::replace(&mut self.has_announced, announces);
         // The others are told once that this host serves nobody any more.
-        if !serves && !has_served {
+        if !announces && !has_announced {
             return Vec::new();
         }
         let mut addrs: Vec<SocketAddr> = Vec::new();
@@ -247,15 +253,15 @@
             if count.0 != Some(&listed.data_centre) {
                 count = (Some(&listed.data_centre), 0);
             }
-            if count.1 < HUBS {
+            if count.1 < HUBS_PER_CENTRE {
                 addrs.push(listed.addr);
             }
             count.1 += 1;
         }
-        addrs.extend(self.hubs.iter().map(|(_, t)| t.addr));
+        addrs.extend(self.hubs.iter().map(|(_, r)| r.addr));
         addrs.sort();
         addrs.dedup();
-        let sums = self.served(None);
+        let sums = self.member_sums(None);
         let body = Body::Centre {
             hosts: sums.hosts,
             usage: sums.usage.iter().map(|(_, u)| *u).collect(),
@@ -265,11 +271,11 @@
     }
 
     /// What a hub tells the hosts that it serves of lost servers, and where it goes.
-    pub fn lost_servers(&mut self, now: Millis) -> Vec<(SocketAddr, Message)> {
-        if !std::mem::take(&mut self.has_lost) {
+    pub fn failed_servers(&mut self, now: Millis) -> Vec<(SocketAddr, Message)> {
+        if !std::mem::take(&mut self.failures_pending) {
             return Vec::new();
         }
-        let addrs: Vec<SocketAddr> = self.members.iter().map(|(_, t)| t.addr).collect();
+        let addrs: Vec<SocketAddr> = self.members.iter().map(|(_, r)| r.addr).collect();
         let body = Body::Others {
             digest: 0,
             hosts: 0,
@@ -282,9 +288,9 @@
 
     /// What a stopping host tells those that count on it; from now on it serves no other host.
     pub fn leave(&mut self, now: Millis) -> Vec<(SocketAddr, Message)> {
-        self.has_lost = true;
-        let mut messages = self.centre(now);
-        messages.extend(self.lost_servers(now));
+        self.failures_pending = true;
+        let mut messages = self.centre_sums(now);
+        messages.extend(self.failed_servers(now));
         messages.extend(self.digest(now, Vec::new()));
         for (_, message) in &mut messages {
             message.leaves = true;
@@ -296,9 +302,9 @@
 
     fn message(&mut self, now: Millis, body: Body) -> Message {
         self.seq += 1;
-        self.lost.retain(|(_, at)| now.since(*at) < TELL_LOST);
-        let newest = self.lost.iter().rev().take(MAX_LOST);
-        let lost = newest.map(|(server, at)| Lost {
+        self.failed.retain(|(_, at)| now.since(*at) < FAILED_TTL);
+        let newest = self.failed.iter().rev().take(MAX_FAILED);
+        let failed = newest.map(|(server, at)| FailedServer {
             server: *server,
             age: u32::try_from(now.since(*at).0).unwrap_or(u32::MAX),
         });
@@ -307,44 +313,44 @@
             incarnation: self.incarnation,
             seq: self.seq,
             leaves: false,
-            lost: lost.collect(),
+            failed: failed.collect(),
             body,
         }
     }
 
     /// Takes in a message that came from `from`.
-    pub fn heard(&mut self, now: Millis, from: SocketAddr, message: &Message) -> Heard {
+    pub fn receive(&mut self, now: Millis, from: SocketAddr, message: &Message) -> Received {
         if message.host == self.host {
-            return Heard::default();
+            return Received::default();
         }
         if message.leaves {
-            return self.left(now, message);
+            return self.peer_left(now, message);
         }
-        let told = |hosts: u32, usage: &[Usage]| Told {
+        let report = |hosts: u32, usage: &[Usage]| PeerReport {
             addr: from,
             incarnation: message.incarnation,
             seq: message.seq,
-            at: now,
+            received_at: now,
             hosts,
             usage: usage.to_vec(),
         };
-        let mut heard = Heard::default();
+        let mut received = Received::default();
         match &message.body {
-            Body::Digest(_) if self.is_leaving => return heard,
+            Body::Digest(_) if self.is_leaving => return received,
             Body::Digest(usage) => {
-                let before = self.members.get(&message.host).map(|t| t.usage.clone());
-                if !put(&mut self.members, &message.host, told(1, usage)) {
-                    return heard;
+                let before = self.members.get(&message.host).map(|r| r.usage.clone());
+                if !store_newer(&mut self.members, &message.host, report(1, usage)) {
+                    return received;
                 }
-                heard.is_news = before.is_none_or(|b| is_news(&b, usage));
-                heard.is_news |= self.relay(now, &message.lost);
-                heard.answer = Some((from, self.others(now, &message.host, message.seq)));
+                received.notify_hubs = before.is_none_or(|b| is_urgent(&b, usage));
+                received.notify_hubs |= self.record_failed(now, &message.failed);
+                received.answer = Some((from, self.answer_digest(now, &message.host, message.seq)));
             }
             Body::Centre { hosts, usage } => {
-                if !put(&mut self.hubs, &message.host, told(*hosts, usage)) {
-                    return heard;
+                if !store_newer(&mut self.hubs, &message.host, report(*hosts, usage)) {
+                    return received;
                 }
-                heard.is_news = self.relay(now, &message.lost);
+                received.notify_hubs = self.record_failed(now, &message.failed);
             }
             Body::Others {
                 digest,
@@ -352,12 +358,12 @@
                 usage,
                 ranks,
             } => {
-                heard.answer = self.is_back(now, &message.host);
-                heard.is_answered = *digest == self.digest && *digest > 0;
-                if heard.is_answered {
-                    self.owes = None;
-                    self.answer = Some(Answer {
-                        at: now,
+                received.answer = self.peer_recovered(now, &message.host);
+                received.answers_digest = *digest == self.digest && *digest > 0;
+                if received.answers_digest {
+                    self.pending_since = None;
+                    self.answer = Some(HubAnswer {
+                        received_at: now,
                         hosts: *hosts,
                         usage: usage.clone(),
                         ranks: ranks.clone(),
@@ -365,28 +371,29 @@
                 }
             }
         }
-        heard.lost.clone_from(&message.lost);
-        heard
+        received.failed.clone_from(&message.failed);
+        received
     }
 
     /// A host stops.
-    fn left(&mut self, now: Millis, message: &Message) -> Heard {
+    fn peer_left(&mut self, now: Millis, message: &Message) -> Received {
         self.members.remove(&message.host);
         self.hubs.remove(&message.host);
         if self.hub().is_some_and(|h| h.host == message.host) {
-            self.owes = None;
-            self.silent.insert(message.host.clone(), now + RETRY);
+            self.pending_since = None;
+            self.unresponsive
+                .insert(message.host.clone(), now + PROBE_INTERVAL);
         }
-        Heard {
-            is_news: true,
-            ..Heard::default()
+        Received {
+            notify_hubs: true,
+            ..Received::default()
         }
     }
 
     /// A host answers. If it is to serve this one again, the hub that has done so meanwhile is told.
-    fn is_back(&mut self, now: Millis, host: &HostId) -> Option<(SocketAddr, Message)> {
+    fn peer_recovered(&mut self, now: Millis, host: &HostId) -> Option<(SocketAddr, Message)> {
         let before = self.hub().cloned();
-        self.silent.remove(host)?;
+        self.unresponsive.remove(host)?;
         let before = before.filter(|b| self.hub() != Some(b))?;
         let message = Message {
             leaves: true,
@@ -396,11 +403,14 @@
     }
 
     /// The answer to the digest of a host that this one serves.
-    fn others(&mut self, now: Millis, host: &HostId, digest: u64) -> Message {
+    fn answer_digest(&mut self, now: Millis, host: &HostId, digest: u64) -> Message {
         self.expire(now);
-        let sums = self.sums(host);
+        let sums = self.sums_without(host);
         let usage: Vec<Usage> = sums.usage.iter().map(|(_, u)| *u).collect();
-        let ranks = usage.iter().map(|u| self.rank(host, u.service)).collect();
+        let ranks = usage
+            .iter()
+            .map(|u| self.waiting_rank(host, u.service))
+            .collect();
         let body = Body::Others {
             digest,
             hosts: sums.hosts.saturating_add(1),
@@ -411,18 +421,18 @@
     }
 
     /// This host found a server to be gone.
-    pub fn lost(&mut self, now: Millis, server: u32) {
-        self.lost.retain(|(s, _)| *s != server);
-        self.lost.push((server, now));
-        self.has_lost = true;
+    pub fn server_failed(&mut self, now: Millis, server: u32) {
+        self.failed.retain(|(s, _)| *s != server);
+        self.failed.push((server, now));
+        self.failures_pending = true;
     }
 
     /// Notes the lost servers that another host tells of; returns whether there are new ones.
-    fn relay(&mut self, now: Millis, lost: &[Lost]) -> bool {
+    fn record_failed(&mut self, now: Millis, failed: &[FailedServer]) -> bool {
         let mut is_new = false;
-        for one in lost {
-            if self.lost.iter().all(|(server, _)| *server != one.server) {
-                self.lost(now - Millis(u64::from(one.age)), one.server);
+        for one in failed {
+            if self.failed.iter().all(|(server, _)| *server != one.server) {
+                self.server_failed(now - Millis(u64::from(one.age)), one.server);
                 is_new = true;
             }
         }
@@ -431,29 +441,29 @@
 
     /// The sums of one service over the other hosts that are heard of; `None` while it is not known
     /// which hosts there are.
-    pub fn shared(&self, now: Millis, service: u32) -> Option<Shared> {
+    pub fn shared_usage(&self, now: Millis, service: u32) -> Option<SharedUsage> {
         if !self.is_listed {
             return None;
         }
         let known = 1 + self.listed.len() as u64;
         let is_waiting = self
-            .told
+            .own_usage
             .iter()
             .any(|u| u.service == service && u.waiting > 0);
         let (hosts, usage, rank) = if self.is_hub() {
-            let sums = self.sums(&self.host);
+            let sums = self.sums_without(&self.host);
             let usage = sums.usage.get(&service).copied();
             (
                 sums.hosts.saturating_add(1),
                 usage,
-                self.rank(&self.host, service),
+                self.waiting_rank(&self.host, service),
             )
         } else {
-            let Some(answer) = self.fresh(now) else {
-                return Some(Shared {
-                    heard: 1,
+            let Some(answer) = self.fresh_answer(now) else {
+                return Some(SharedUsage {
+                    reporting: 1,
                     known,
-                    ..Shared::default()
+                    ..SharedUsage::default()
                 });
             };
             let at = answer.usage.iter().position(|u| u.service == service);
@@ -461,36 +471,36 @@
             (answer.hosts, at.map(|i| answer.usage[i]), rank.unwrap_or(0))
         };
         let usage = usage.unwrap_or_default();
-        let heard = u64::from(hosts);
-        Some(Shared {
-            heard,
-            known: known.max(heard),
+        let reporting = u64::from(hosts);
+        Some(SharedUsage {
+            reporting,
+            known: known.max(reporting),
             requests: usage.requests.map(u64::from),
-            repeats: u64::from(usage.repeats),
+            retries: u64::from(usage.retries),
             waiting: u64::from(usage.waiting) + u64::from(is_waiting),
             rank: is_waiting.then_some(u64::from(rank)),
         })
     }
 
     /// The sums over all hosts that are heard of, but for one.
-    fn sums(&self, but: &HostId) -> Sums {
-        let mut sums = self.served(Some(but));
-        for (_, told) in self.hubs.iter() {
-            sums.add(told);
+    fn sums_without(&self, but: &HostId) -> Sums {
+        let mut sums = self.member_sums(Some(but));
+        for (_, report) in self.hubs.iter() {
+            sums.add(report);
         }
         sums
     }
 
     /// The sums over this host and those that it serves, but for one.
-    fn served(&self, but: Option<&HostId>) -> Sums {
+    fn member_sums(&self, but: Option<&HostId>) -> Sums {
         let mut sums = Sums::default();
         // A host that another one serves is counted there.
         if but != Some(&self.host) && self.is_hub() {
-            sums.add_usage(1, &self.told);
+            sums.add_usage(1, &self.own_usage);
         }
-        for (host, told) in self.members.iter() {
+        for (host, report) in self.members.iter() {
             if but != Some(host) {
-                sums.add(told);
+                sums.add(report);
             }
         }
         sums
@@ -498,32 +508,32 @@
 
     /// The hosts with waiting requests that come before `host`: those of data centres before this one,
     /// and those before it among the served ones.
-    fn rank(&self, host: &HostId, service: u32) -> u32 {
+    fn waiting_rank(&self, host: &HostId, service: u32) -> u32 {
         let waiting = |usage: &[Usage]| {
             let of_service = usage.iter().filter(|u| u.service == service);
             of_service.fold(0, |sum: u32, u| sum.saturating_add(u.waiting))
         };
         let hubs = self.hubs.iter().filter(|(h, _)| **h < self.host);
-        let rank = hubs.fold(0, |sum: u32, (_, t)| sum.saturating_add(waiting(&t.usage)));
-        let served = self.members.iter().filter(|(h, _)| *h < host);
-        let rank = served.fold(rank, |sum, (_, t)| sum.saturating_add(waiting(&t.usage)));
+        let rank = hubs.fold(0, |sum: u32, (_, r)| sum.saturating_add(waiting(&r.usage)));
+        let members = self.members.iter().filter(|(h, _)| *h < host);
+        let rank = members.fold(rank, |sum, (_, r)| sum.saturating_add(waiting(&r.usage)));
         if self.host < *host && self.is_hub() {
-            rank.saturating_add(waiting(&self.told))
+            rank.saturating_add(waiting(&self.own_usage))
         } else {
             rank
         }
     }
 
     fn expire(&mut self, now: Millis) {
-        let is_fresh = |_: &HostId, t: &mut Told| now.since(t.at) < FRESH;
+        let is_fresh = |_: &HostId, r: &mut PeerReport| now.since(r.received_at) < REPORT_TTL;
         self.members.retain(is_fresh);
         self.hubs.retain(is_fresh);
     }
 }
 
 impl Sums {
-    fn add(&mut self, told: &Told) {
-        self.add_usage(told.hosts, &told.usage);
+    fn add(&mut self, report: &PeerReport) {
+        self.add_usage(report.hosts, &report.usage);
     }
 
     fn add_usage(&mut self, hosts: u32, usage: &[Usage]) {
@@ -537,14 +547,17 @@
             for (sum, one) in sum.requests.iter_mut().zip(one.requests) {
                 *sum = sum.saturating_add(one);
             }
-            sum.repeats = sum.repeats.saturating_add(one.repeats);
+            sum.retries = sum.retries.saturating_add(one.retries);
             sum.waiting = sum.waiting.saturating_add(one.waiting);
         }
     }
 }
 
 /// The order in which the hosts of a data centre are taken as its hub.
-fn order<'a>(data_centre: &'a DataCentre, host: &'a HostId) -> (&'a DataCentre, u64, &'a HostId) {
+fn hub_order<'a>(
+    data_centre: &'a DataCentre,
+    host: &'a HostId,
+) -> (&'a DataCentre, u64, &'a HostId) {
     let weight = rendezvous(data_centre.as_str(), host.as_str());
     (data_centre, weight, host)
 }
@@ -555,17 +568,18 @@
 }
 
 /// Whether the other hubs are to be told at once that a host's use has changed.
-fn is_news(before: &[Usage], usage: &[Usage]) -> bool {
-    let key = |u: &Usage| (u.service, u.repeats, u.waiting);
+fn is_urgent(before: &[Usage], usage: &[Usage]) -> bool {
+    let key = |u: &Usage| (u.service, u.retries, u.waiting);
     !before.iter().map(key).eq(usage.iter().map(key))
 }
 
 /// Keeps what a host told, unless it is older than what is held; returns whether it was kept.
-fn put(all: &mut Sorted<HostId, Told>, host: &HostId, told: Told) -> bool {
-    let is_old = |held: &Told| held.incarnation == told.incarnation && told.seq <= held.seq;
+fn store_newer(all: &mut Sorted<HostId, PeerReport>, host: &HostId, report: PeerReport) -> bool {
+    let is_old =
+        |held: &PeerReport| held.incarnation == report.incarnation && report.seq <= held.seq;
     if all.get(host).is_some_and(is_old) {
         return false;
     }
-    all.insert(host.clone(), told);
+    all.insert(host.clone(), report);
     true
 }
--- a/crates/membership/src/gossip/message.rs
+++ b/crates/membership/src/gossip/message.rs
@@ -14,14 +14,15 @@
     /// The requests, in each of the windows.
     pub requests: [u32; WINDOWS],
     /// The repeats.
-    pub repeats: u32,
+    #[serde(rename = "repeats")]
+    pub retries: u32,
     /// The hosts with requests that wait for a repeat.
     pub waiting: u32,
 }
 
 /// A server that a host found to be gone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Lost {
+pub struct FailedServer {
     /// The hash of the server's id.
     pub server: u32,
     /// How long ago, in milliseconds.
@@ -40,7 +41,8 @@
     /// Whether the sender stops and is to be forgotten.
     pub leaves: bool,
     /// The servers found to be gone lately.
-    pub lost: Vec<Lost>,
+    #[serde(rename = "lost")]
+    pub failed: Vec<FailedServer>,
     /// What the message is for.
     pub body: Body,
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -4,8 +4,8 @@
 //! send, backend servers to ask and the merged belief go out. The crate knows nothing of sockets.
 
 pub mod backends;
-pub mod beat;
 pub mod gossip;
+pub mod heartbeat;
 pub mod hosts;
 pub mod listed;
 pub mod members;
@@ -13,7 +13,7 @@
 pub mod policy;
 pub mod roster;
 
-pub use beat::Beat;
+pub use heartbeat::Heartbeat;
 pub use members::Members;
 pub use policy::Policy;
 pub use roster::Roster;
--- a/crates/membership/src/own.rs
+++ b/crates/membership/src/own.rs
@@ -3,36 +3,38 @@
 use base::prelude::*;
 use serde::Serialize;
 
-use crate::hosts::Life;
+use crate::hosts::Lifecycle;
 use crate::listed::Place;
 
 /// The host of this agent.
 #[derive(Clone, Debug, Serialize)]
-pub struct Own {
+pub struct OwnHost {
     /// The host.
     pub host: HostId,
     /// Where it is reached.
     pub place: Place,
     /// Whether the host list has confirmed where it is reached.
-    pub is_placed: bool,
+    #[serde(rename = "is_placed")]
+    pub place_confirmed: bool,
     /// The life of this agent, and whether the host takes no new work.
-    pub life: Life,
+    #[serde(rename = "life")]
+    pub lifecycle: Lifecycle,
 }
 
-impl Own {
+impl OwnHost {
     /// A host whose agent starts now.
     pub fn new(now: Millis, host: HostId, place: Place, incarnation: Incarnation) -> Self {
-        let life = Life::newborn(now, incarnation);
+        let lifecycle = Lifecycle::with_incarnation(now, incarnation);
         Self {
             host,
             place,
-            is_placed: false,
-            life,
+            place_confirmed: false,
+            lifecycle,
         }
     }
 
     /// The life of this agent.
     pub fn incarnation(&self) -> Incarnation {
-        self.life.incarnation.unwrap_or_default()
+        self.lifecycle.incarnation.unwrap_or_default()
     }
 }
--- a/crates/membership/src/roster.rs
+++ b/crates/membership/src/roster.rs
@@ -10,7 +10,7 @@
 use strum::IntoStaticStr;
 
 /// How long after the registry's return a row may still be missing although its server lives.
-pub const RETURN_GRACE: Millis = Millis(2_200);
+pub const RECOVERY_GRACE: Millis = Millis(2_200);
 
 /// The state that a backend server reports of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, IntoStaticStr)]
@@ -36,7 +36,7 @@
     /// The requests that it runs at once; 0 if unknown.
     pub slots: u64,
     /// When the server started, in milliseconds of Unix time; 0 if unknown.
-    pub born: u64,
+    pub start_time: u64,
 }
 
 /// A row and what is believed of it.
@@ -86,28 +86,28 @@
 pub struct Roster {
     members: Sorted<BackendId, Member>,
     /// When the registry answered again after an outage.
-    returned: Option<Millis>,
+    available_since: Option<Millis>,
     /// Whether it does not answer now.
-    is_away: bool,
+    is_unavailable: bool,
 }
 
 impl Roster {
     /// The registry does not answer.
-    pub fn lost(&mut self) {
-        self.is_away = true;
+    pub fn registry_unavailable(&mut self) {
+        self.is_unavailable = true;
     }
 
     /// The registry answers; returns whether it did not before.
-    pub fn reached(&mut self, now: Millis) -> bool {
-        let was_away = std::mem::replace(&mut self.is_away, false);
-        if was_away {
-            self.returned = Some(now);
+    pub fn registry_available(&mut self, now: Millis) -> bool {
+        let was_unavailable = std::mem::replace(&mut self.is_unavailable, false);
+        if was_unavailable {
+            self.available_since = Some(now);
             let adopted = self.members.iter_mut().filter(|(_, m)| m.is_adopted);
             for (_, member) in adopted {
-                member.expires = Some(now + RETURN_GRACE);
+                member.expires = Some(now + RECOVERY_GRACE);
             }
         }
-        was_away
+        was_unavailable
     }
 
     /// Takes in a row, unless a newer one is held.
@@ -115,7 +115,7 @@
         let addr = entry.addr;
         let change = self.insert(id, entry, revision);
         if change != Change::None {
-            self.replace(addr);
+            self.mark_replaced(addr);
         }
         change
     }
@@ -124,12 +124,12 @@
     ///
     /// The row of a server that crashed stays until its heartbeats have been missing for a while; the
     /// one that starts in its place is listed before that.
-    fn replace(&mut self, addr: SocketAddr) {
-        let here = |m: &Member| m.entry.addr == addr;
-        let members = self.members.iter().filter(|(_, m)| here(m));
-        let newest = members.map(|(_, m)| m.entry.born).max().unwrap_or(0);
-        for (_, member) in self.members.iter_mut().filter(|(_, m)| here(m)) {
-            member.is_replaced = member.entry.born > 0 && member.entry.born < newest;
+    fn mark_replaced(&mut self, addr: SocketAddr) {
+        let at_addr = |m: &Member| m.entry.addr == addr;
+        let members = self.members.iter().filter(|(_, m)| at_addr(m));
+        let newest = members.map(|(_, m)| m.entry.start_time).max().unwrap_or(0);
+        for (_, member) in self.members.iter_mut().filter(|(_, m)| at_addr(m)) {
+            member.is_replaced = member.entry.start_time > 0 && member.entry.start_time < newest;
         }
     }
 
@@ -152,7 +152,7 @@
         if revision < held.revision {
             return Change::None;
         }
-        let change = if held.entry.born != entry.born || held.entry.addr != entry.addr {
+        let change = if held.entry.start_time != entry.start_time || held.entry.addr != entry.addr {
             Change::Restarted
         } else if held.entry.state == State::Serving && entry.state == State::Leaving {
             Change::Leaving
@@ -170,17 +170,17 @@
     /// away. It must be known to be of the same service.
     ///
     /// Its row is expected once the registry is back; without one it is dropped then.
-    pub fn adopt(&mut self, old: &BackendId, id: &BackendId, born: u64) -> Change {
+    pub fn adopt(&mut self, old: &BackendId, id: &BackendId, start_time: u64) -> Change {
         let Some(held) = self.members.get_mut(old) else {
             return Change::None;
         };
         held.is_replaced = true;
         let entry = Entry {
-            born,
+            start_time,
             state: State::Serving,
             ..held.entry.clone()
         };
-        if !self.is_away || self.members.get(id).is_some() {
+        if !self.is_unavailable || self.members.get(id).is_some() {
             return Change::None;
         }
         let member = Member {
@@ -195,8 +195,8 @@
     }
 
     /// Whether the registry does not answer now.
-    pub fn is_away(&self) -> bool {
-        self.is_away
+    pub fn is_unavailable(&self) -> bool {
+        self.is_unavailable
     }
 
     /// Takes in the removal of a row, unless a newer row is held.
@@ -222,7 +222,7 @@
     }
 
     /// Removes each row that a whole reading as of `revision` does not have.
-    pub fn keep_only(
+    pub fn retain_listed(
         &mut self,
         listed: &[BackendId],
         revision: u64,
@@ -268,7 +268,7 @@
 
     /// Until when a removal is doubted, if it is.
     fn grace_ends(&self, now: Millis) -> Option<Millis> {
-        let ends = self.returned? + RETURN_GRACE;
+        let ends = self.available_since? + RECOVERY_GRACE;
         (now < ends).then_some(ends)
     }
 }
--- a/crates/membership/tests/host_digests.rs
+++ b/crates/membership/tests/host_digests.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use base::prelude::*;
-use membership::gossip::{Body, Gossip, Listed, Lost, Message, Shared, Usage};
+use membership::gossip::{Body, FailedServer, Gossip, ListedPeer, Message, SharedUsage, Usage};
 
 /// The time between two digests of a host, and between two looks at what has arrived.
 const PERIOD: Millis = Millis(500);
@@ -47,7 +47,7 @@
                 usage: Usage {
                     service: 1,
                     requests: [10, 20, 30],
-                    repeats: 1,
+                    retries: 1,
                     waiting: 0,
                 },
                 is_up: true,
@@ -61,9 +61,9 @@
             sent: Vec::new(),
             counts: vec![0; hosts],
         };
-        let all: Vec<Listed> = net.hosts.iter().map(Host::listed).collect();
+        let all: Vec<ListedPeer> = net.hosts.iter().map(Host::listed).collect();
         for host in &mut net.hosts {
-            host.gossip.listed(all.clone());
+            host.gossip.set_hosts(all.clone());
         }
         net
     }
@@ -79,8 +79,8 @@
                     let now = self.now;
                     let host = &mut self.hosts[i];
                     let mut messages = host.gossip.digest(now, vec![host.usage]);
-                    messages.extend(host.gossip.centre(now));
-                    messages.extend(host.gossip.lost_servers(now));
+                    messages.extend(host.gossip.centre_sums(now));
+                    messages.extend(host.gossip.failed_servers(now));
                     self.send(i, messages);
                 }
             }
@@ -103,17 +103,17 @@
             if !self.hosts[i].is_up || self.hosts[i].is_cut || self.hosts.iter().any(is_cut) {
                 continue;
             }
-            let heard = self.hosts[i].gossip.heard(self.now, from, &message);
-            let lost = heard.lost.iter().map(|l| l.server);
+            let received = self.hosts[i].gossip.receive(self.now, from, &message);
+            let lost = received.failed.iter().map(|l| l.server);
             self.hosts[i].lost.extend(lost);
-            self.send(i, heard.answer.into_iter().collect());
+            self.send(i, received.answer.into_iter().collect());
         }
     }
 
-    fn shared(&self, i: usize) -> Shared {
+    fn shared(&self, i: usize) -> SharedUsage {
         self.hosts[i]
             .gossip
-            .shared(self.now, 1)
+            .shared_usage(self.now, 1)
             .expect("the list was read")
     }
 
@@ -122,7 +122,7 @@
         let data_centre = DataCentre::from(format!("dc-{centre}").as_str());
         let is_hub = |h: &Host| h.data_centre == data_centre && h.is_up && h.gossip.is_hub();
         let hubs = || (0..self.hosts.len()).filter(|i| is_hub(&self.hosts[*i]));
-        let serving = hubs().find(|i| self.hosts[*i].gossip.serves());
+        let serving = hubs().find(|i| self.hosts[*i].gossip.has_members());
         serving.or_else(|| hubs().next()).expect("a hub")
     }
 
@@ -131,7 +131,7 @@
         for (i, host) in self.hosts.iter().enumerate() {
             if host.is_up && !host.is_cut {
                 let shared = self.shared(i);
-                let seen = (shared.heard, shared.requests, shared.repeats);
+                let seen = (shared.reporting, shared.requests, shared.retries);
                 let requests = [10, 20, 30].map(|r| r * count);
                 assert_eq!(seen, (count + 1, requests, count), "{:?}", host.name);
             }
@@ -140,8 +140,8 @@
 }
 
 impl Host {
-    fn listed(&self) -> Listed {
-        Listed {
+    fn listed(&self) -> ListedPeer {
+        ListedPeer {
             host: self.name.clone(),
             data_centre: self.data_centre.clone(),
             addr: self.addr,
@@ -161,7 +161,7 @@
 
 /// The messages of a host that is no hub do not grow with the number of hosts.
 #[test]
-fn messages_of_a_host() {
+fn member_message_count_is_bounded() {
     let busiest = |hosts: usize| {
         let mut net = Net::new(hosts, 3);
         net.run(Millis(10_000));
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn other_hub_takes_over() {
+fn next_hub_takes_over() {
     let mut net = Net::new(24, 3);
     net.run(Millis(2_000));
     let hub = net.hub(1);
@@ -193,15 +193,15 @@
         net.hosts[hub].data_centre.clone(),
         Incarnation(2),
     );
-    let all: Vec<Listed> = net.hosts.iter().map(Host::listed).collect();
-    net.hosts[hub].gossip.listed(all);
+    let all: Vec<ListedPeer> = net.hosts.iter().map(Host::listed).collect();
+    net.hosts[hub].gossip.set_hosts(all);
     net.run(Millis(6_000));
     assert_eq!(net.hub(1), hub, "the first in order serves again");
     net.assert_sums(23);
 }
 
 #[test]
-fn stopping_hub_is_left_at_once() {
+fn stopping_hub_is_replaced_at_once() {
     let mut net = Net::new(9, 3);
     net.run(Millis(2_000));
     let hub = net.hub(2);
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn host_cut_off_is_alone() {
+fn isolated_host_reports_only_itself() {
     let mut net = Net::new(9, 3);
     net.run(Millis(2_000));
     let cut = (0..9)
@@ -233,16 +233,16 @@
     net.hosts[cut].is_cut = true;
     net.run(Millis(4_500));
     let alone = net.shared(cut);
-    assert_eq!((alone.heard, alone.known), (1, 9));
-    assert_eq!((alone.requests, alone.repeats), ([0; 3], 0));
+    assert_eq!((alone.reporting, alone.known), (1, 9));
+    assert_eq!((alone.requests, alone.retries), ([0; 3], 0));
     net.assert_sums(7);
 }
 
 #[test]
-fn unread_list_tells_nothing() {
+fn no_messages_before_host_list() {
     let mut gossip = Gossip::new(HostId::from("own"), DataCentre::from("dc"), Incarnation(1));
     assert_eq!(gossip.digest(Millis(0), Vec::new()), []);
-    assert_eq!(gossip.shared(Millis(0), 1), None);
+    assert_eq!(gossip.shared_usage(Millis(0), 1), None);
 }
 
 #[test]
@@ -259,11 +259,11 @@
 }
 
 #[test]
-fn lost_servers_reach_all() {
+fn failed_servers_reach_all_hosts() {
     let mut net = Net::new(12, 3);
     net.run(Millis(2_000));
     let now = net.now;
-    net.hosts[4].gossip.lost(now, 77);
+    net.hosts[4].gossip.server_failed(now, 77);
     net.run(Millis(1_500));
     for (i, host) in net.hosts.iter().enumerate() {
         assert!(i == 4 || host.lost.contains(&77), "{:?}", host.name);
@@ -282,45 +282,45 @@
 
 #[test]
 fn old_messages_are_dropped() {
-    let centre = |seq: u64, incarnation: u64, repeats: u32| Message {
+    let centre = |seq: u64, incarnation: u64, retries: u32| Message {
         host: HostId::from("a"),
         incarnation: Incarnation(incarnation),
         seq,
         leaves: false,
-        lost: Vec::new(),
+        failed: Vec::new(),
         body: Body::Digest(vec![Usage {
             service: 1,
             requests: [10; 3],
-            repeats,
+            retries,
             waiting: 0,
         }]),
     };
     let mut gossip = Gossip::new(HostId::from("own"), DataCentre::from("dc"), Incarnation(1));
-    gossip.listed(Vec::new());
-    let repeats = |g: &Gossip| g.shared(Millis(2), 1).map(|s| s.repeats);
+    gossip.set_hosts(Vec::new());
+    let retries = |g: &Gossip| g.shared_usage(Millis(2), 1).map(|s| s.retries);
     assert!(
         gossip
-            .heard(Millis(0), addr(1), &centre(5, 1, 3))
+            .receive(Millis(0), addr(1), &centre(5, 1, 3))
             .answer
             .is_some()
     );
     assert_eq!(
-        gossip.heard(Millis(1), addr(1), &centre(4, 1, 9)).answer,
+        gossip.receive(Millis(1), addr(1), &centre(4, 1, 9)).answer,
         None
     );
-    assert_eq!(repeats(&gossip), Some(3));
-    gossip.heard(Millis(2), addr(1), &centre(1, 2, 0));
-    assert_eq!(repeats(&gossip), Some(0), "the host started anew");
+    assert_eq!(retries(&gossip), Some(3));
+    gossip.receive(Millis(2), addr(1), &centre(1, 2, 0));
+    assert_eq!(retries(&gossip), Some(0), "the host started anew");
 }
 
 #[test]
-fn absurd_counts() {
+fn sums_saturate() {
     let message = |host: &str| Message {
         host: HostId::from(host),
         incarnation: Incarnation(1),
         seq: u64::MAX,
         leaves: false,
-        lost: vec![Lost {
+        failed: vec![FailedServer {
             server: 1,
             age: u32::MAX,
         }],
@@ -329,16 +329,18 @@
             usage: vec![Usage {
                 service: 1,
                 requests: [u32::MAX; 3],
-                repeats: u32::MAX,
+                retries: u32::MAX,
                 waiting: u32::MAX,
             }],
         },
     };
     let mut gossip = Gossip::new(HostId::from("own"), DataCentre::from("dc"), Incarnation(1));
-    gossip.listed(Vec::new());
+    gossip.set_hosts(Vec::new());
     for host in ["a", "b"] {
-        gossip.heard(Millis(0), addr(1), &message(host));
+        gossip.receive(Millis(0), addr(1), &message(host));
     }
-    let shared = gossip.shared(Millis(1), 1).expect("the list was read");
-    assert_eq!(shared.repeats, u64::from(u32::MAX));
+    let shared = gossip
+        .shared_usage(Millis(1), 1)
+        .expect("the list was read");
+    assert_eq!(shared.retries, u64::from(u32::MAX));
 }
--- a/crates/membership/tests/properties.rs
+++ b/crates/membership/tests/properties.rs
@@ -4,7 +4,7 @@
 mod sim;
 
 use base::prelude::*;
-use membership::hosts::Standing;
+use membership::hosts::Status;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use sim::Sim;
@@ -150,11 +150,13 @@
                 let is_silent = silent.is_some_and(|at| now.since(at) > SILENCE);
                 let was_awake = self.silent[i].is_none();
                 if is_near && is_silent && was_awake {
-                    prop_assert_ne!(host.standing, Standing::Alive, "{} of {}", observer, id);
+                    prop_assert_ne!(host.status, Status::Alive, "{} of {}", observer, id);
                 }
             }
-            let hosts = members.hosts().map(|(id, h)| (id.as_str(), &h.life));
-            let servers = members.backends().map(|(id, b)| (id.as_str(), &b.life));
+            let hosts = members.hosts().map(|(id, h)| (id.as_str(), &h.lifecycle));
+            let servers = members
+                .backends()
+                .map(|(id, b)| (id.as_str(), &b.lifecycle));
             for (id, life) in hosts.chain(servers) {
                 let fact = (i, id.to_owned(), life.incarnation);
                 if self.left.contains(&fact) {
@@ -185,7 +187,7 @@
             };
             for (id, host) in members.hosts() {
                 let life = lives.iter().find(|(l, _)| l == id).map(|(_, i)| *i);
-                let (name, standing) = (&agent.name, host.standing);
+                let (name, standing) = (&agent.name, host.status);
                 prop_assert_eq!(
                     host.is_usable(),
                     life.is_some(),
@@ -194,7 +196,7 @@
                     id,
                     standing
                 );
-                let is_known = life.is_none() || life == host.life.incarnation;
+                let is_known = life.is_none() || life == host.lifecycle.incarnation;
                 prop_assert!(is_known, "{} takes {} for an earlier life", name, id);
             }
             for (id, backend) in members.backends() {
@@ -205,7 +207,7 @@
                 let is_seen = server.is_up && is_watched;
                 prop_assert_eq!(backend.is_alive(), is_seen, "{} on {}", &agent.name, id);
                 let life = Some(server.report.incarnation);
-                let is_known = backend.life.incarnation == life || !is_seen;
+                let is_known = backend.lifecycle.incarnation == life || !is_seen;
                 prop_assert!(is_known, "{} takes {} for an earlier life", agent.name, id);
             }
         }
@@ -222,7 +224,7 @@
     })]
 
     #[test]
-    fn beliefs_are_sound(steps in prop::collection::vec(step(), 1..40)) {
+    fn views_are_sound_and_converge(steps in prop::collection::vec(step(), 1..40)) {
         let mut world = World::new();
         world.sim.run(Millis(8_000));
         for step in &steps {
--- a/crates/membership/tests/roster_recovery.rs
+++ b/crates/membership/tests/roster_recovery.rs
@@ -2,7 +2,7 @@
 //! time.
 
 use base::prelude::*;
-use membership::roster::{Change, Entry, RETURN_GRACE, Roster, State};
+use membership::roster::{Change, Entry, RECOVERY_GRACE, Roster, State};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
@@ -46,7 +46,7 @@
         centre: DataCentre::from("a"),
         state,
         slots: 4,
-        born: 1,
+        start_time: 1,
     }
 }
 
@@ -85,7 +85,7 @@
         }
         let mut listed: Vec<BackendId> = self.rows.iter().map(|(i, ..)| i.clone()).collect();
         listed.sort();
-        self.roster.keep_only(&listed, self.revision, self.now);
+        self.roster.retain_listed(&listed, self.revision, self.now);
     }
 
     fn step(&mut self, event: Event) {
@@ -100,11 +100,11 @@
             }
             Event::Lost => {
                 self.is_away = true;
-                self.roster.lost();
+                self.roster.registry_unavailable();
             }
             Event::Back | Event::Forgot if self.is_away => {
                 self.is_away = false;
-                self.roster.reached(self.now);
+                self.roster.registry_available(self.now);
                 if matches!(event, Event::Forgot) {
                     self.read_whole();
                 }
@@ -160,14 +160,14 @@
 
 /// After an outage every host ends with what the registry lists, once the grace is over.
 #[test]
-fn ends_with_what_is_listed() {
+fn converges_to_registry() {
     run(|events| {
         let mut world = World::default();
         for event in events {
             world.step(event);
         }
         world.step(Event::Back);
-        world.step(Event::Wait(RETURN_GRACE.0));
+        world.step(Event::Wait(RECOVERY_GRACE.0));
         prop_assert_eq!(world.usable(), world.serving());
         Ok(())
     });
@@ -175,7 +175,7 @@
 
 /// A server that reports that it leaves is not used from the moment at which the host is told.
 #[test]
-fn leaving_is_believed_at_once() {
+fn leaving_server_is_unusable_at_once() {
     run(|events| {
         let mut world = World::default();
         for event in events {
@@ -194,7 +194,7 @@
 
 /// While the registry is away nothing that was usable is given up, and nothing new is believed.
 #[test]
-fn outage_changes_nothing() {
+fn outage_keeps_usable_servers() {
     run(|events| {
         let mut world = World::default();
         let mut held = None;
--- a/crates/membership/tests/server_rows.rs
+++ b/crates/membership/tests/server_rows.rs
@@ -2,16 +2,16 @@
 
 use base::prelude::*;
 use membership::Roster;
-use membership::roster::{Change, Entry, RETURN_GRACE, State};
+use membership::roster::{Change, Entry, RECOVERY_GRACE, State};
 
-fn entry(port: u16, state: State, born: u64) -> Entry {
+fn entry(port: u16, state: State, start_time: u64) -> Entry {
     Entry {
         service: ServiceName::from("draft"),
         addr: ([127, 0, 0, 1], port).into(),
         centre: DataCentre::from("a"),
         state,
         slots: 4,
-        born,
+        start_time,
     }
 }
 
@@ -54,13 +54,13 @@
     let (kept, gone) = (BackendId::from("i-1"), BackendId::from("i-2"));
     roster.put(kept.clone(), entry(1, State::Serving, 1), 1);
     roster.put(gone.clone(), entry(2, State::Serving, 1), 2);
-    roster.lost();
-    assert!(roster.reached(Millis(1_000)));
+    roster.registry_unavailable();
+    assert!(roster.registry_available(Millis(1_000)));
     assert_eq!(roster.remove(&kept, 3, Millis(1_001)), Change::Missing);
     assert_eq!(roster.remove(&gone, 4, Millis(1_001)), Change::Missing);
     assert!(usable(&roster, "i-1", 1_002) && usable(&roster, "i-2", 1_002));
     roster.put(kept, entry(1, State::Serving, 1), 5);
-    let end = 1_000 + RETURN_GRACE.0;
+    let end = 1_000 + RECOVERY_GRACE.0;
     assert!(usable(&roster, "i-1", end), "its row came back");
     assert!(!usable(&roster, "i-2", end), "its row stayed away");
     roster.expire(Millis(end));
@@ -70,18 +70,18 @@
 }
 
 #[test]
-fn whole_reading_removes() {
+fn full_read_removes_missing_rows() {
     let mut roster = Roster::default();
     for (id, port) in [("i-1", 1), ("i-2", 2)] {
         roster.put(BackendId::from(id), entry(port, State::Serving, 1), 1);
     }
-    let missing = roster.keep_only(&[BackendId::from("i-2")], 9, Millis(0));
+    let missing = roster.retain_listed(&[BackendId::from("i-2")], 9, Millis(0));
     assert_eq!(missing, [BackendId::from("i-1")]);
     assert!(!usable(&roster, "i-1", 0) && usable(&roster, "i-2", 0));
 }
 
 #[test]
-fn later_server_at_address() {
+fn newer_server_at_same_address() {
     let mut roster = Roster::default();
     roster.put(BackendId::from("old"), entry(1, State::Serving, 10), 1);
     roster.put(BackendId::from("new"), entry(1, State::Serving, 20), 2);
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn same_id_started_anew() {
+fn restart_under_same_id() {
     let mut roster = Roster::default();
     let id = BackendId::from("i-1");
     roster.put(id.clone(), entry(1, State::Serving, 10), 1);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn adopted_while_away() {
+fn adopted_during_outage() {
     let mut roster = Roster::default();
     let (old, new) = (BackendId::from("old"), BackendId::from("new"));
     roster.put(old.clone(), entry(1, State::Serving, 10), 1);
@@ -116,11 +116,11 @@
 
     let mut roster = Roster::default();
     roster.put(old.clone(), entry(1, State::Serving, 10), 1);
-    roster.lost();
+    roster.registry_unavailable();
     assert_eq!(roster.adopt(&old, &new, 20), Change::Added);
     assert!(usable(&roster, "new", 0) && !usable(&roster, "old", 0));
-    roster.reached(Millis(100));
-    let end = 100 + RETURN_GRACE.0;
+    roster.registry_available(Millis(100));
+    let end = 100 + RECOVERY_GRACE.0;
     assert!(usable(&roster, "new", end - 1), "its row is awaited");
     assert!(!usable(&roster, "new", end), "no row came");
 }
--- a/crates/membership/tests/sim/mod.rs
+++ b/crates/membership/tests/sim/mod.rs
@@ -6,8 +6,8 @@
 use membership::backends::Report;
 use membership::listed::{ListedBackend, ListedHost, Place};
 use membership::members::Action;
-use membership::own::Own;
-use membership::{Beat, Members, Policy};
+use membership::own::OwnHost;
+use membership::{Heartbeat, Members, Policy};
 
 /// The step of the clock, in milliseconds.
 const STEP: Millis = Millis(50);
@@ -37,7 +37,7 @@
     pub(crate) cuts: Vec<(HostId, HostId)>,
     pub(crate) polls: u64,
     /// How the size of a beat is taken, if it is.
-    pub(crate) measure: Option<fn(&Beat) -> u64>,
+    pub(crate) measure: Option<fn(&Heartbeat) -> u64>,
     pub(crate) beats: Vec<u64>,
 }
 
@@ -91,7 +91,7 @@
     pub(crate) fn start(&mut self, name: &str, life: u64) {
         let now = self.now;
         let agent = self.agent(name);
-        let own = Own::new(
+        let own = OwnHost::new(
             now,
             agent.name.clone(),
             agent.place.clone(),
@@ -120,7 +120,7 @@
         let mut servers: Vec<ListedBackend> = servers.collect();
         servers.sort_by(|a, b| a.backend.cmp(&b.backend));
         if let Some(members) = &mut self.agent(name).members {
-            members.listed(now, &list, &servers);
+            members.apply_host_list(now, &list, &servers);
         }
     }
 
@@ -149,7 +149,7 @@
         }
         for action in actions {
             match action {
-                Action::Beat { host, .. } => self.exchange(i, &host),
+                Action::Heartbeat { host, .. } => self.exchange(i, &host),
                 Action::Poll { backend, .. } => self.poll(i, &backend),
             }
         }
@@ -162,19 +162,19 @@
         if self.cuts.iter().any(is_cut) {
             return;
         }
-        let question = running(&mut self.agents[i]).map(|m| m.beat(now, to));
+        let question = running(&mut self.agents[i]).map(|m| m.heartbeat(now, to));
         let peer = self.agents.iter_mut().find(|a| a.name == *to);
         let Some((peer, question)) = peer.and_then(running).zip(question) else {
             return;
         };
         let sizes = self.measure.map(|size| size(&question));
         self.beats.extend(sizes);
-        peer.heard(now, question);
-        let answer = peer.beat(now, &from);
+        peer.receive(now, question);
+        let answer = peer.heartbeat(now, &from);
         let sizes = self.measure.map(|size| size(&answer));
         self.beats.extend(sizes);
         if let Some(members) = running(&mut self.agents[i]) {
-            members.heard(now, answer);
+            members.receive(now, answer);
         }
     }
 
@@ -184,7 +184,7 @@
         let server = self.servers.iter().find(|s| s.listed.backend == *backend);
         let report = server.filter(|s| s.is_up).map(|s| s.report.clone());
         if let Some(members) = running(&mut self.agents[i]) {
-            members.polled(now, backend, report);
+            members.apply_poll_result(now, backend, report);
         }
     }
 
@@ -195,18 +195,18 @@
         };
         let mut text = String::new();
         for (id, host) in members.hosts() {
-            let life = host.life.incarnation.map_or(0, |i| i.0);
-            let leaving = if host.life.is_leaving() {
+            let life = host.lifecycle.incarnation.map_or(0, |i| i.0);
+            let leaving = if host.lifecycle.is_leaving() {
                 " leaving"
             } else {
                 ""
             };
-            text += &format!("{id} {} life={life}{leaving}\n", host.standing);
+            text += &format!("{id} {} life={life}{leaving}\n", host.status);
         }
         for (id, backend) in members.backends() {
-            let life = backend.life.incarnation.map_or(0, |i| i.0);
+            let life = backend.lifecycle.incarnation.map_or(0, |i| i.0);
             let alive = if backend.is_alive() { "alive" } else { "dead" };
-            let leaving = if backend.life.is_leaving() {
+            let leaving = if backend.lifecycle.is_leaving() {
                 " leaving"
             } else {
                 ""
@@ -214,7 +214,7 @@
             let load = backend.claim().map_or(0, |c| c.report.running);
             text += &format!("{id} {alive} life={life} load={load}{leaving}\n");
         }
-        if members.own().life.leaving {
+        if members.own().lifecycle.leaving {
             text += "this host leaves\n";
         }
         text
--- a/crates/peer/src/agent.rs
+++ b/crates/peer/src/agent.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use base::prelude::*;
-use membership::Beat;
+use membership::Heartbeat;
 use profiles::document::Document;
 use profiles::held::News;
 use serde::{Deserialize, Serialize};
@@ -126,7 +126,7 @@
     /// The agent itself.
     async fn about() -> About;
     /// A heartbeat, answered by one.
-    async fn heartbeat(beat: Beat) -> Beat;
+    async fn heartbeat(beat: Heartbeat) -> Heartbeat;
 
     /// The host of this agent takes no new work from now on.
     async fn leave();
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -6,7 +6,7 @@
 use base::prelude::*;
 use base::traffic;
 use journal::record::{Append, Refusal};
-use membership::Beat;
+use membership::Heartbeat;
 use platform::store::{Rows, Table};
 use tarpc::client::RpcError;
 use tarpc::context::{self, Context};
@@ -302,7 +302,11 @@
     /// # Errors
     ///
     /// Any [`LinkError`].
-    pub async fn heartbeat(&self, beat: Beat, limit: Duration) -> Result<Beat, LinkError> {
+    pub async fn heartbeat(
+        &self,
+        beat: Heartbeat,
+        limit: Duration,
+    ) -> Result<Heartbeat, LinkError> {
         self.call(limit, |c, ctx| {
             let beat = beat.clone();
             async move { c.heartbeat(ctx, beat).await }
--- a/crates/peer/src/serve.rs
+++ b/crates/peer/src/serve.rs
@@ -3,7 +3,7 @@
 use base::prelude::*;
 use futures_util::{Stream, StreamExt};
 use journal::record::{Append, Refusal};
-use membership::Beat;
+use membership::Heartbeat;
 use platform::store::{Rows, Table};
 use tarpc::context::Context;
 use tarpc::server::{BaseChannel, Channel};
@@ -74,7 +74,7 @@
     C: Fn(Ask) -> G + Clone + Send + Sync + 'static,
     G: Future<Output = Changes> + Send + 'static,
     A: Fn() -> About + Clone + Send + Sync + 'static,
-    H: Fn(Beat) -> Beat + Clone + Send + Sync + 'static,
+    H: Fn(Heartbeat) -> Heartbeat + Clone + Send + Sync + 'static,
     L: Fn() + Clone + Send + Sync + 'static,
 {
     async fn changes(self, _: Context, ask: Ask) -> Changes {
@@ -85,7 +85,7 @@
         (self.about)()
     }
 
-    async fn heartbeat(self, _: Context, beat: Beat) -> Beat {
+    async fn heartbeat(self, _: Context, beat: Heartbeat) -> Heartbeat {
         (self.heartbeat)(beat)
     }
 
@@ -150,7 +150,7 @@
     C: Fn(Ask) -> G + Clone + Send + Sync + 'static,
     G: Future<Output = Changes> + Send + 'static,
     A: Fn() -> About + Clone + Send + Sync + 'static,
-    H: Fn(Beat) -> Beat + Clone + Send + Sync + 'static,
+    H: Fn(Heartbeat) -> Heartbeat + Clone + Send + Sync + 'static,
     L: Fn() + Clone + Send + Sync + 'static,
 {
     let end = stop.clone();
--- a/crates/peer/tests/beat_size.rs
+++ b/crates/peer/tests/beat_size.rs
@@ -7,7 +7,7 @@
 use std::pin::Pin;
 
 use base::prelude::*;
-use membership::Beat;
+use membership::Heartbeat;
 use sim::Sim;
 use tokio_serde::Serializer;
 use tokio_serde::formats::MessagePack;
@@ -85,15 +85,15 @@
             let mut found = members
                 .flat_map(|m| m.backends())
                 .filter(|(id, _)| **id == name);
-            let leaves = found.all(|(_, b)| b.life.is_leaving());
+            let leaves = found.all(|(_, b)| b.lifecycle.is_leaving());
             assert!(leaves, "{} does not know that {name} leaves", agent.name);
         }
     }
 }
 
 /// The bytes of a beat as it travels.
-fn size(beat: &Beat) -> u64 {
-    let mut format: MessagePack<Beat, Beat> = MessagePack::default();
+fn size(beat: &Heartbeat) -> u64 {
+    let mut format: MessagePack<Heartbeat, Heartbeat> = MessagePack::default();
     let bytes = Pin::new(&mut format).serialize(beat);
     bytes.map_or(0, |b| b.len() as u64)
 }
--- a/crates/relay/src/budget.rs
+++ b/crates/relay/src/budget.rs
@@ -8,7 +8,7 @@
 //! and its part of the fixed allowance, so that the sum holds without any message.
 
 use base::prelude::*;
-use membership::gossip::{Shared, WINDOWS};
+use membership::gossip::{SharedUsage, WINDOWS};
 
 /// The parts into which a window is divided for counting.
 const PARTS: u64 = 10;
@@ -30,7 +30,7 @@
     /// The repeats allowed besides to all hosts together, in each window.
     extra: u64,
     parts: Vec<Part>,
-    others: Shared,
+    others: SharedUsage,
     /// The repeats of this host that the last exchange does not contain.
     spent: u64,
     /// The repeats of this host since it last told of its use.
@@ -48,10 +48,10 @@
             permille,
             extra,
             parts: Vec::new(),
-            others: Shared {
-                heard: 1,
+            others: SharedUsage {
+                reporting: 1,
                 known: hosts.max(1),
-                ..Shared::default()
+                ..SharedUsage::default()
             },
             spent: 0,
             untold: 0,
@@ -82,7 +82,7 @@
         let pool = allowed.saturating_sub(used);
         // The pool is already less by what was spent since the exchange.
         let before = pool + self.spent;
-        let share = before / others.heard + self.rest(before % others.heard);
+        let share = before / others.reporting + self.rest(before % others.reporting);
         pool.min(share.saturating_sub(self.spent))
     }
 
@@ -90,14 +90,14 @@
     fn pool(&self, now: Millis) -> (u64, u64) {
         let others = &self.others;
         // Alone, hosts would each take the window that was best for themselves.
-        let is_alone = others.heard == 1 && others.known > 1;
+        let is_alone = others.reporting == 1 && others.known > 1;
         let windows = if is_alone { 1 } else { WINDOWS };
         let requests = self.requests(now).into_iter().zip(others.requests);
         let sums = requests.map(|(own, other)| own + other);
         let most = sums.take(windows).max().unwrap_or(0);
         let earned = most * self.permille / 1_000;
-        let fixed = self.extra * others.heard / others.known;
-        (earned + fixed, self.repeats(now) + others.repeats)
+        let fixed = self.extra * others.reporting / others.known;
+        (earned + fixed, self.repeats(now) + others.retries)
     }
 
     /// Whether the others are to be told of this host's use before the next regular exchange: half of its
@@ -132,7 +132,7 @@
     }
 
     /// What the other hosts have used, as this host knows it.
-    pub fn others(&self) -> &Shared {
+    pub fn others(&self) -> &SharedUsage {
         &self.others
     }
 
@@ -165,7 +165,7 @@
     }
 
     /// Takes in what the others have used, as the answer to what this host told last.
-    pub fn exchanged(&mut self, others: Shared) {
+    pub fn exchanged(&mut self, others: SharedUsage) {
         self.others = others;
         self.spent = self.untold;
     }
--- a/crates/relay/tests/retry_budget.rs
+++ b/crates/relay/tests/retry_budget.rs
@@ -1,7 +1,7 @@
 //! The retry budget of one host and of many.
 
 use base::prelude::*;
-use membership::gossip::Shared;
+use membership::gossip::SharedUsage;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use relay::Budget;
@@ -61,10 +61,10 @@
 #[test]
 fn silent_hosts_leave_their_part() {
     let mut budget = Budget::new(WINDOW, 0, 80, 16);
-    let alone = Shared {
-        heard: 1,
+    let alone = SharedUsage {
+        reporting: 1,
         known: 8,
-        ..Shared::default()
+        ..SharedUsage::default()
     };
     budget.exchanged(alone);
     assert_eq!(budget.left(Millis(0)), 10);
@@ -73,11 +73,11 @@
 #[test]
 fn share_between_exchanges() {
     let mut budget = Budget::new(WINDOW, 1_000, 0, 1);
-    let others = Shared {
-        heard: 10,
+    let others = SharedUsage {
+        reporting: 10,
         known: 10,
         requests: [100; 3],
-        ..Shared::default()
+        ..SharedUsage::default()
     };
     budget.exchanged(others);
     let spent = (0..100).filter(|_| budget.spend(Millis(0))).count();
@@ -97,10 +97,10 @@
 #[test]
 fn half_of_the_share_is_urgent() {
     let mut budget = Budget::new(WINDOW, 0, 100, 1);
-    budget.exchanged(Shared {
-        heard: 5,
+    budget.exchanged(SharedUsage {
+        reporting: 5,
         known: 5,
-        ..Shared::default()
+        ..SharedUsage::default()
     });
     let is_urgent = (0..12).map(|_| {
         budget.spend(Millis(0));
@@ -108,11 +108,11 @@
     });
     let first = is_urgent.take_while(|is_urgent| !is_urgent).count();
     assert_eq!(first, 9, "the tenth of 20");
-    let scarce = Shared {
-        heard: 5,
+    let scarce = SharedUsage {
+        reporting: 5,
         known: 5,
-        repeats: 60,
-        ..Shared::default()
+        retries: 60,
+        ..SharedUsage::default()
     };
     let mut budget = Budget::new(WINDOW, 0, 100, 1);
     budget.exchanged(scarce);
@@ -190,11 +190,11 @@
     for (budget, own) in budgets.iter_mut().zip(&used) {
         let is_waiting = budget.waiting() > 0;
         budget.told();
-        budget.exchanged(Shared {
-            heard: hosts,
+        budget.exchanged(SharedUsage {
+            reporting: hosts,
             known: hosts,
             requests: [0, 1, 2].map(|i| sums.0[i] - own.0[i]),
-            repeats: sums.1 - own.1,
+            retries: sums.1 - own.1,
             waiting: all,
             rank: is_waiting.then_some(before),
         });
