--- a/crates/membership/src/backends.rs
+++ b/crates/membership/src/backends.rs
@@ -1,4 +1,7 @@
-//! One backend server as this agent believes it to be.
+//! The view that this agent has of one backend server, merged from the claims of several agents.
+//!
+//! Each backend server is polled by [`WATCHERS`] agents of its data centre. Their results travel in
+//! heartbeats and are held as one claim per agent; the view follows the most preferred watcher.
 
 use base::hash::rendezvous;
 use base::prelude::*;
@@ -8,82 +11,82 @@
 use crate::hosts::Lifecycle;
 use crate::listed::ListedBackend;
 
-/// How many agents of a data centre ask each backend server.
+/// How many agents of a data centre poll each backend server.
 pub const WATCHERS: usize = 2;
 
-/// A change of load by this part of the slots is told to others.
+/// A load is sent to other agents once it has changed by one such fraction of the slots, at least by 1.
 const LOAD_FRACTION: u64 = 8;
 
-/// What a backend server answers when it is asked for its load.
+/// The answer of a backend server to a poll.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Report {
-    /// Its life.
+    /// Incarnation of the server.
     pub incarnation: Incarnation,
-    /// Whether it says that it leaves.
+    /// Whether it reports that it is leaving.
     pub leaving: bool,
-    /// The requests that it runs.
+    /// Number of running requests.
     pub running: u64,
-    /// The requests that wait there.
+    /// Number of queued requests.
     pub queued: u64,
-    /// The most requests that it runs at once.
+    /// Maximum number of concurrent requests.
     pub slots: u64,
-    /// The models that it holds.
+    /// The models that it has loaded.
     pub models: Vec<Model>,
-    /// The age of the report when it was given.
+    /// Age of the figures when the report was received.
     pub age: Millis,
 }
 
-/// What one agent says of a backend server.
+/// The last report of one agent on a backend server.
 #[derive(Clone, Debug, Serialize)]
 pub struct Claim {
-    /// The agent; this one included.
+    /// Host of the agent; this agent's own host for its own polls.
     pub from: HostId,
-    /// Whether the backend server answers it.
+    /// Whether the backend server answers its polls.
     pub alive: bool,
-    /// The last report that it got.
+    /// The last poll result that it received.
     pub report: Report,
-    /// When the report came here.
+    /// When this agent received the report or its last load.
     #[serde(rename = "got")]
     pub received_at: Millis,
-    /// When the agent last confirmed what it has said.
+    /// When the agent last sent or confirmed the claim.
     #[serde(rename = "confirmed")]
     pub confirmed_at: Millis,
-    /// Whether that was lately.
+    /// Whether that was within the claim's time to live; only fresh claims count.
     pub is_fresh: bool,
 }
 
 /// A backend server.
 #[derive(Clone, Debug, Serialize)]
 pub struct Backend {
-    /// What the host list says of it.
+    /// Its entry in the host list.
     pub listed: ListedBackend,
-    /// Its life.
+    /// Incarnations, and whether it is leaving.
     #[serde(rename = "life")]
     pub lifecycle: Lifecycle,
-    /// What is said of it, one claim an agent.
+    /// One claim per agent that has reported on it.
     claims: Vec<Claim>,
-    /// The questions of this agent that were not answered since the last answer.
+    /// Number of this agent's consecutive unanswered polls.
     #[serde(rename = "misses")]
     pub missed_polls: u32,
-    /// When this agent last asked.
+    /// When this agent last polled it; `None` before the first poll.
     #[serde(rename = "asked")]
     pub last_poll: Option<Millis>,
-    /// The agents that ask it, the most preferred first.
+    /// The hosts whose agents poll it, the most preferred first.
     pub watchers: Vec<HostId>,
-    /// The number of the last change of all but the load.
+    /// Sequence number of the last change other than of the load.
     #[serde(rename = "changed")]
     pub last_change: u64,
-    /// The number of the last change of the load that others should hear of.
+    /// Sequence number of the last change of the load that is sent to other agents.
     #[serde(rename = "load_changed")]
     pub load_change: u64,
-    /// What is believed.
+    /// The merged state.
     state: State,
-    /// The load that others were last told.
+    /// Running and queued requests as last sent to other agents.
     #[serde(rename = "told")]
     reported_load: u64,
 }
 
-/// All that [`Changed::state`] is about.
+/// The merged state other than the load; a difference sets [`Changed::state`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 struct State {
     incarnation: Option<Incarnation>,
@@ -93,17 +96,17 @@
     models: Vec<Model>,
 }
 
-/// What has changed by a piece of news.
+/// Which parts of the view an update has changed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Changed {
-    /// The life, leaving, alive, the slots or the models.
+    /// The incarnation, leaving, alive, the slots or the models.
     pub state: bool,
-    /// The load, by enough to tell others.
+    /// The load, by enough to send it to other agents.
     pub load: bool,
 }
 
 impl Backend {
-    /// A backend server that has not yet reported.
+    /// A backend server on which nothing has been reported.
     pub fn new(now: Millis, listed: ListedBackend) -> Self {
         Self {
             listed,
@@ -119,12 +122,13 @@
         }
     }
 
-    /// Whether it answers.
+    /// Whether it answers polls, according to the claim in effect.
     pub fn is_alive(&self) -> bool {
         self.state.alive
     }
 
-    /// The claim that is believed: that of the first watcher that speaks of the present life.
+    /// The claim in effect: of those on the current incarnation, that of the most preferred watcher, or the
+    /// last confirmed one while no watcher has a claim. `None` while there is no fresh claim.
     pub fn claim(&self) -> Option<&Claim> {
         let incarnation = self.lifecycle.incarnation;
         let is_current = |c: &&Claim| Some(c.report.incarnation) == incarnation;
@@ -134,17 +138,17 @@
                 std::cmp::Reverse(c.confirmed_at),
             )
         };
-        self.effective_claims().filter(is_current).min_by_key(rank)
+        self.eligible_claims().filter(is_current).min_by_key(rank)
     }
 
-    /// The fresh claims of watchers, or of others while no watcher speaks.
-    fn effective_claims(&self) -> impl Iterator<Item = &Claim> {
+    /// The fresh claims of watchers, or those of other agents while no watcher has one.
+    fn eligible_claims(&self) -> impl Iterator<Item = &Claim> {
         let fresh = || self.claims.iter().filter(|c| c.is_fresh);
         let has_watchers = fresh().any(|c| self.watcher_rank(&c.from) < WATCHERS);
         fresh().filter(move |c| !has_watchers || self.watcher_rank(&c.from) < WATCHERS)
     }
 
-    /// Takes in the answer to a question of this agent, called `own`.
+    /// Applies the answer to a poll of this agent, whose host is `own`.
     pub fn poll_answered(&mut self, now: Millis, own: &HostId, report: Report) -> Changed {
         self.missed_polls = 0;
         let before = self.own_update(own);
@@ -152,7 +156,7 @@
         self.reevaluate_own(now, own, before)
     }
 
-    /// Takes in that a question of this agent was not answered.
+    /// Applies an unanswered poll of this agent; after `dead` consecutive ones the server is dead.
     pub fn poll_missed(&mut self, now: Millis, own: &HostId, dead: u32) -> Changed {
         self.missed_polls = self.missed_polls.saturating_add(1);
         let before = self.own_update(own);
@@ -162,7 +166,7 @@
             claim.confirmed_at = now;
             claim.is_fresh = true;
         } else if let Some(incarnation) = self.lifecycle.incarnation.filter(|_| is_dead) {
-            // Others have told of this life; this agent has found it dead.
+            // The incarnation is known from other agents only; this agent finds it dead.
             let report = Report {
                 incarnation,
                 ..Report::default()
@@ -172,7 +176,7 @@
         self.reevaluate_own(now, own, before)
     }
 
-    /// Takes in what another agent says.
+    /// Applies an update from another agent, keeping the load that it last sent.
     pub fn apply_update(&mut self, now: Millis, from: &HostId, update: BackendUpdate) -> Changed {
         let held = self.claims.iter().find(|c| c.from == *from);
         let load = held.map(|c| (c.report.running, c.report.queued, c.report.age));
@@ -190,7 +194,7 @@
         self.reevaluate(now)
     }
 
-    /// Takes in the load that another agent has read.
+    /// Applies the load that another agent sent; ignored without a claim of that agent.
     pub fn apply_load(&mut self, now: Millis, from: &HostId, update: &LoadUpdate) -> Changed {
         if let Some(claim) = self.claims.iter_mut().find(|c| c.from == *from) {
             claim.report.running = update.running;
@@ -201,7 +205,7 @@
         self.reevaluate(now)
     }
 
-    /// Takes in that an agent stands by what it has said.
+    /// Renews the claim of an agent.
     pub fn confirm(&mut self, now: Millis, from: &HostId) -> Changed {
         let Some(claim) = self.claims.iter_mut().find(|c| c.from == *from) else {
             return Changed::default();
@@ -210,12 +214,12 @@
         if claim.is_fresh {
             return Changed::default();
         }
-        // Only changes travel, so that the claim of before the silence still holds.
+        // Agents send changes only, so that the claim from before the expiry is still valid.
         claim.is_fresh = true;
         self.reevaluate(now)
     }
 
-    /// Leaves claims out of account that were not confirmed for `limit`.
+    /// Disregards the claims that were not confirmed for `limit`.
     pub fn expire_claims(&mut self, now: Millis, limit: Millis) -> Changed {
         let mut has_expired = false;
         for claim in &mut self.claims {
@@ -231,17 +235,18 @@
         }
     }
 
-    /// Drops what an agent has said, as its life has ended.
+    /// Drops the claim of an agent whose incarnation has ended.
     pub fn drop_claim(&mut self, now: Millis, from: &HostId) -> Changed {
         self.claims.retain(|c| c.from != *from);
         self.reevaluate(now)
     }
 
-    /// Replaces the claim of an agent.
+    /// Replaces the claim of an agent. If it shows that the current incarnation has ended, begins the next.
     fn set_claim(&mut self, now: Millis, from: &HostId, alive: bool, report: Report) {
         let held = self.claims.iter().position(|c| c.from == *from);
         let before = held.map(|i| self.claims.remove(i).report.incarnation);
-        // Only an agent that has seen the present life end knows that another life is a later one.
+        // Incarnations have no order. Only an agent that reported the current one before can know that
+        // another is a later one.
         let is_later = before.is_some() && before == self.lifecycle.incarnation;
         if is_later && before != Some(report.incarnation) {
             self.lifecycle.begin(now, report.incarnation);
@@ -256,7 +261,7 @@
         });
     }
 
-    /// Draws the belief from the claims, and sees whether what this agent says has changed.
+    /// Merges the claims, and also reports a change if this agent's own update differs from `before`.
     fn reevaluate_own(
         &mut self,
         now: Millis,
@@ -268,11 +273,11 @@
         changed
     }
 
-    /// Draws the belief from the claims.
+    /// Merges the claims into the state and the load.
     fn reevaluate(&mut self, now: Millis) -> Changed {
         if self.claim().is_none() {
             let first = self
-                .effective_claims()
+                .eligible_claims()
                 .min_by_key(|c| self.watcher_rank(&c.from));
             if let Some(incarnation) = first.map(|c| c.report.incarnation) {
                 self.lifecycle.begin(now, incarnation);
@@ -296,13 +301,13 @@
         }
     }
 
-    /// The place of an agent among the watchers, or behind them.
+    /// Index of an agent among the watchers; [`WATCHERS`] if it is none.
     fn watcher_rank(&self, host: &HostId) -> usize {
         let place = self.watchers.iter().position(|w| w == host);
         place.unwrap_or(WATCHERS)
     }
 
-    /// Chooses who asks it, among the sorted `hosts`; returns whether that has changed.
+    /// Chooses its watchers among `hosts` by rendezvous hashing; returns whether they have changed.
     pub fn assign_watchers(&mut self, hosts: &[HostId]) -> bool {
         let name = self.listed.backend.as_str();
         let mut ranked: Vec<(u64, &HostId)> = hosts
@@ -317,7 +322,8 @@
         is_new
     }
 
-    /// What `own` itself has found, for agents that hear all watchers.
+    /// The update with the claim of `own` itself, for agents of the data centre, which receive those of all
+    /// watchers; `None` without a claim.
     pub fn own_update(&self, own: &HostId) -> Option<BackendUpdate> {
         let claim = self.claims.iter().find(|c| c.from == *own)?;
         let is_current = Some(claim.report.incarnation) == self.lifecycle.incarnation;
@@ -331,7 +337,8 @@
         })
     }
 
-    /// What is believed of it, for an agent that hears none of the watchers.
+    /// The update with the merged state, for agents of other data centres, which receive none from the
+    /// watchers; `None` without a known incarnation.
     pub fn merged_update(&self) -> Option<BackendUpdate> {
         Some(BackendUpdate {
             backend: self.listed.backend.clone(),
@@ -343,7 +350,7 @@
         })
     }
 
-    /// What this agent says of its load, once there is a report.
+    /// The update with the load of the claim in effect; `None` if there is none.
     pub fn load_update(&self, now: Millis) -> Option<LoadUpdate> {
         let claim = self.claim()?;
         Some(LoadUpdate {
@@ -354,7 +361,7 @@
         })
     }
 
-    /// Whether a load differs enough from what others were told; notes it as told if so.
+    /// Whether a load differs enough from the one last sent to other agents; if so it is recorded as sent.
     fn record_load(&mut self, load: u64) -> bool {
         let step = (self.state.slots / LOAD_FRACTION).max(1);
         let is_reported = load.abs_diff(self.reported_load) >= step;
@@ -366,7 +373,7 @@
 }
 
 impl Claim {
-    /// The age of the report.
+    /// Age of the load figures at `now`.
     pub fn age(&self, now: Millis) -> Millis {
         self.report.age + now.since(self.received_at)
     }
--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -1,15 +1,14 @@
-//! What entry hosts tell each other in passing: their use of the shared retry budgets, and the backend
-//! servers that they found to be gone.
+//! Exchange of retry budget usage and of failed servers between hosts, through one hub per data centre.
 //!
-//! In each data centre one host, the hub, takes the digests of the others there and answers each with the
-//! sums over all hosts. Hubs tell each other the sums of their data centres. So the messages of a host do
-//! not grow with the number of hosts; those of a hub grow with the hosts of its data centre and the number
-//! of data centres.
+//! Each host sends its usage (a digest) to the hub of its data centre, which answers with the sums over all
+//! other hosts. Hubs send each other the sums of their data centres. The number of messages that a host
+//! sends therefore does not grow with the number of hosts; that of a hub grows with the hosts of its data
+//! centre and with the number of data centres.
 //!
-//! Nobody elects a hub: each host takes the first listed host of its data centre, in an order that all
-//! share, that is not silent. Hosts that differ use two hubs for a while, which tell each other their sums.
-//! Each message stands for itself; lost, late and repeated ones do no harm. A host that hears of no hub
-//! goes on with its own share.
+//! Hubs are not elected: each host uses the first listed host of its data centre, in an order common to all
+//! hosts, that is not marked unresponsive. While hosts disagree, a data centre has two hubs for a while,
+//! which send each other their sums. Each message is self-contained, so that lost, late and duplicate
+//! messages do no harm. A host that reaches no hub works with its own share of the budget.
 
 mod message;
 
@@ -21,66 +20,66 @@
 
 pub use message::{Body, FailedServer, Message, Usage, WINDOWS};
 
-/// What was not told anew for this time is forgotten.
+/// Reports and answers that were not renewed within this time expire.
 const REPORT_TTL: Millis = Millis(2_000);
 
-/// The hub is taken as silent after this time without an answer; more than the period of digests.
+/// A hub that leaves digests unanswered for this time is unresponsive; longer than the digest period.
 const HUB_TIMEOUT: Millis = Millis(700);
 
-/// How often a hub that fell silent is asked whether it is back.
+/// The interval at which an unresponsive host is probed with a digest.
 const PROBE_INTERVAL: Millis = Millis(2_500);
 
-/// The hosts of each other data centre, in the order of hubs, that are told the sums of this one.
+/// How many hosts of each data centre, in hub order, receive the sums of this data centre.
 const HUBS_PER_CENTRE: usize = 2;
 
-/// The lost servers that one message names at most, so that it fits a datagram.
+/// The maximum number of failed servers in one message, so that it fits a datagram.
 const MAX_FAILED: usize = 48;
 
-/// How long a lost server is told of.
+/// How long a failed server is included in messages.
 const FAILED_TTL: Millis = Millis(1_500);
 
-/// A host as the store lists it.
+/// A row of the store's host list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedPeer {
-    /// Its name.
+    /// The unique name, which also decides the order of hubs.
     pub host: HostId,
-    /// Where it stands.
+    /// The data centre whose hub it uses.
     pub data_centre: DataCentre,
-    /// Where it takes messages.
+    /// Address on which it receives messages.
     pub addr: SocketAddr,
 }
 
-/// The sums of one service over the hosts that are heard of.
+/// The usage of one service, summed over the hosts whose usage has been received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SharedUsage {
-    /// The hosts that are heard of, this one included.
+    /// Number of hosts whose usage has been received, this one included.
     pub reporting: u64,
-    /// The hosts that are known, this one included.
+    /// Number of listed hosts, or of reporting ones if these are more; this one included.
     pub known: u64,
-    /// The requests of the others, in each of the windows.
+    /// Requests of the other hosts in each of the [`WINDOWS`].
     pub requests: [u64; WINDOWS],
-    /// The repeats of the others.
+    /// Retries of the other hosts.
     pub retries: u64,
-    /// The hosts that have told of requests that wait for a repeat, this one included.
+    /// Number of hosts that reported requests waiting for a retry, this one included.
     pub waiting: u64,
-    /// How many of these come before this host; `None` if this one has told of none.
+    /// How many of the waiting hosts come before this one; `None` if this one has reported none waiting.
     pub rank: Option<u64>,
 }
 
-/// What follows from a message.
+/// The result of [`Gossip::receive`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Received {
-    /// The lost servers that it names.
+    /// The failed servers in the message.
     pub failed: Vec<FailedServer>,
-    /// A message that follows, and where it goes.
+    /// A message to send in response, with its destination.
     pub answer: Option<(SocketAddr, Message)>,
-    /// Whether it answers this host's last digest, so that the sums over the others are new.
+    /// Whether the message answers this host's last digest, so that the sums over the others are current.
     pub answers_digest: bool,
-    /// Whether the other hubs are to be told soon.
+    /// Whether to run the next exchange now, so that the change reaches the other hubs soon.
     pub notify_hubs: bool,
 }
 
-/// What a host was told by another, and when.
+/// The last report of another host: the digest of a member or the sums of a hub.
 #[derive(Clone, Debug)]
 struct PeerReport {
     addr: SocketAddr,
@@ -98,7 +97,7 @@
     usage: Sorted<u32, Usage>,
 }
 
-/// A hub's last answer.
+/// The hub's answer to the last digest that it answered.
 #[derive(Clone, Debug)]
 struct HubAnswer {
     received_at: Millis,
@@ -107,41 +106,42 @@
     ranks: Vec<u32>,
 }
 
-/// The other hosts and what they last told.
+/// The state of the exchange: the other hosts and their last reports.
 #[derive(Clone, Debug, Default)]
 pub struct Gossip {
     host: HostId,
     data_centre: DataCentre,
     incarnation: Incarnation,
     seq: u64,
-    /// The other hosts that the store lists, in the order of hubs.
+    /// The other hosts in the store's list, in hub order.
     listed: Vec<ListedPeer>,
-    /// The hosts that this one serves as their hub.
+    /// The hosts that use this one as their hub.
     members: Sorted<HostId, PeerReport>,
-    /// The other hubs.
+    /// The other hubs, which may include one of this data centre.
     hubs: Sorted<HostId, PeerReport>,
-    /// The hosts that did not answer, and when they are asked next.
+    /// The unresponsive hosts, each with the time of the next probe.
     unresponsive: Sorted<HostId, Millis>,
-    /// Whether the other hubs were told last that this host serves some.
+    /// Whether this host acted as a hub in the last round, so that other hubs hold its sums.
     has_announced: bool,
-    /// Since when the hub owes an answer.
+    /// When the oldest digest was sent that the hub has not answered; `None` if none is pending.
     pending_since: Option<Millis>,
-    /// The number of the last digest.
+    /// The sequence number of the last digest.
     digest: u64,
     answer: Option<HubAnswer>,
+    /// Hashes of the ids of recently failed servers, with the time of the failure.
     failed: Vec<(u32, Millis)>,
-    /// Whether the hosts that this one serves are to be told of a lost server.
+    /// Whether a failed server has yet to be sent to the members.
     failures_pending: bool,
-    /// What this host told last of its own use.
+    /// This host's own usage, as of its last digest.
     own_usage: Vec<Usage>,
-    /// Whether the list of hosts was read.
+    /// Whether the host list has been read.
     is_listed: bool,
-    /// Whether this host stops and serves no other any more.
+    /// Whether this host is stopping and accepts no more digests.
     is_leaving: bool,
 }
 
 impl Gossip {
-    /// A host that has heard of nobody yet.
+    /// A host that has received no list and no message yet.
     pub fn new(host: HostId, data_centre: DataCentre, incarnation: Incarnation) -> Self {
         Self {
             host,
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Takes in the whole list of hosts.
+    /// Replaces the list of hosts.
     pub fn set_hosts(&mut self, mut hosts: Vec<ListedPeer>) {
         hosts.retain(|l| l.host != self.host);
         hosts.sort_by(|a, b| {
@@ -161,12 +161,12 @@
         self.is_listed = true;
     }
 
-    /// Whether this host serves its data centre: no other one there comes before it that answers.
+    /// Whether this host is the hub of its data centre: no responsive host there precedes it in hub order.
     pub fn is_hub(&self) -> bool {
         self.hub().is_none()
     }
 
-    /// The hub that serves this host, if it is another one.
+    /// The hub of this host; `None` if it is its own.
     pub fn hub(&self) -> Option<&ListedPeer> {
         let own = hub_order(&self.data_centre, &self.host);
         let mut local = self.local_hosts();
@@ -175,7 +175,7 @@
         })
     }
 
-    /// Whether the sums come from another hub, which has answered lately.
+    /// Whether the sums come from another host, the hub, whose last answer has not expired.
     pub fn has_hub_answer(&self, now: Millis) -> bool {
         !self.is_hub() && self.fresh_answer(now).is_some()
     }
@@ -186,7 +186,7 @@
             .filter(|a| now.since(a.received_at) < REPORT_TTL)
     }
 
-    /// Whether other hosts take this one as their hub.
+    /// Whether other hosts use this one as their hub.
     pub fn has_members(&self) -> bool {
         !self.members.is_empty()
     }
@@ -196,7 +196,9 @@
         self.listed.iter().filter(is_local)
     }
 
-    /// Notes the own use, and tells it to the hub; a hub has the sums itself and tells nobody.
+    /// Records this host's usage and returns the digest for the hub and for unresponsive hosts to probe.
+    ///
+    /// A hub computes the sums itself and sends no digest but those probes.
     pub fn digest(&mut self, now: Millis, usage: Vec<Usage>) -> Vec<(SocketAddr, Message)> {
         self.own_usage = usage;
         self.expire(now);
@@ -220,7 +222,7 @@
         to_each(addrs, &message)
     }
 
-    /// Silent hosts of this data centre that are to be asked again.
+    /// Unresponsive hosts of this data centre whose next probe is due.
     fn probes_due(&mut self, now: Millis) -> Vec<SocketAddr> {
         let mut addrs = Vec::new();
         for listed in self
@@ -238,12 +240,12 @@
         addrs
     }
 
-    /// What a hub tells the other hubs, and where it goes.
+    /// The sums of this hub for the other hubs, with their destinations.
     pub fn centre_sums(&mut self, now: Millis) -> Vec<(SocketAddr, Message)> {
         self.expire(now);
         let announces = self.is_hub() || !self.members.is_empty();
         let has_announced = std::mem::replace(&mut self.has_announced, announces);
-        // The others are told once that this host serves nobody any more.
+        // A host that ceases to be a hub sends empty sums once, to replace its last ones.
         if !announces && !has_announced {
             return Vec::new();
         }
@@ -270,7 +272,7 @@
         to_each(addrs, &message)
     }
 
-    /// What a hub tells the hosts that it serves of lost servers, and where it goes.
+    /// A message with the failed servers for each member of this hub; empty if there is no new one.
     pub fn failed_servers(&mut self, now: Millis) -> Vec<(SocketAddr, Message)> {
         if !std::mem::take(&mut self.failures_pending) {
             return Vec::new();
@@ -286,7 +288,7 @@
         to_each(addrs, &message)
     }
 
-    /// What a stopping host tells those that count on it; from now on it serves no other host.
+    /// The messages by which a stopping host signs off; from now on it accepts no digests.
     pub fn leave(&mut self, now: Millis) -> Vec<(SocketAddr, Message)> {
         self.failures_pending = true;
         let mut messages = self.centre_sums(now);
@@ -318,7 +320,7 @@
         }
     }
 
-    /// Takes in a message that came from `from`.
+    /// Applies a message received from `from`.
     pub fn receive(&mut self, now: Millis, from: SocketAddr, message: &Message) -> Received {
         if message.host == self.host {
             return Received::default();
@@ -375,7 +377,7 @@
         received
     }
 
-    /// A host stops.
+    /// Applies the sign-off of a host.
     fn peer_left(&mut self, now: Millis, message: &Message) -> Received {
         self.members.remove(&message.host);
         self.hubs.remove(&message.host);
@@ -390,7 +392,8 @@
         }
     }
 
-    /// A host answers. If it is to serve this one again, the hub that has done so meanwhile is told.
+    /// Marks a host as responsive. If that makes it the hub of this host, returns a sign-off for the hub
+    /// used until now.
     fn peer_recovered(&mut self, now: Millis, host: &HostId) -> Option<(SocketAddr, Message)> {
         let before = self.hub().cloned();
         self.unresponsive.remove(host)?;
@@ -402,7 +405,7 @@
         Some((before.addr, message))
     }
 
-    /// The answer to the digest of a host that this one serves.
+    /// The answer to the digest of a member.
     fn answer_digest(&mut self, now: Millis, host: &HostId, digest: u64) -> Message {
         self.expire(now);
         let sums = self.sums_without(host);
@@ -420,14 +423,14 @@
         self.message(now, body)
     }
 
-    /// This host found a server to be gone.
+    /// Records that a server has failed, as found by this host.
     pub fn server_failed(&mut self, now: Millis, server: u32) {
         self.failed.retain(|(s, _)| *s != server);
         self.failed.push((server, now));
         self.failures_pending = true;
     }
 
-    /// Notes the lost servers that another host tells of; returns whether there are new ones.
+    /// Records the failed servers that another host reported; returns whether there are new ones.
     fn record_failed(&mut self, now: Millis, failed: &[FailedServer]) -> bool {
         let mut is_new = false;
         for one in failed {
@@ -439,8 +442,7 @@
         is_new
     }
 
-    /// The sums of one service over the other hosts that are heard of; `None` while it is not known
-    /// which hosts there are.
+    /// The sums of one service over the other reporting hosts; `None` until the host list has been read.
     pub fn shared_usage(&self, now: Millis, service: u32) -> Option<SharedUsage> {
         if !self.is_listed {
             return None;
@@ -482,7 +484,7 @@
         })
     }
 
-    /// The sums over all hosts that are heard of, but for one.
+    /// The sums over all reporting hosts except `but`.
     fn sums_without(&self, but: &HostId) -> Sums {
         let mut sums = self.member_sums(Some(but));
         for (_, report) in self.hubs.iter() {
@@ -491,10 +493,10 @@
         sums
     }
 
-    /// The sums over this host and those that it serves, but for one.
+    /// The sums over this host and its members, except `but`.
     fn member_sums(&self, but: Option<&HostId>) -> Sums {
         let mut sums = Sums::default();
-        // A host that another one serves is counted there.
+        // A host that has another hub is counted there.
         if but != Some(&self.host) && self.is_hub() {
             sums.add_usage(1, &self.own_usage);
         }
@@ -506,8 +508,8 @@
         sums
     }
 
-    /// The hosts with waiting requests that come before `host`: those of data centres before this one,
-    /// and those before it among the served ones.
+    /// The number of hosts with waiting requests that come before `host`: those reported by hubs that come
+    /// before this one by name, and those before `host` among this hub and its members.
     fn waiting_rank(&self, host: &HostId, service: u32) -> u32 {
         let waiting = |usage: &[Usage]| {
             let of_service = usage.iter().filter(|u| u.service == service);
@@ -537,7 +539,7 @@
     }
 
     fn add_usage(&mut self, hosts: u32, usage: &[Usage]) {
-        // Sums are bounded, since any datagram may come.
+        // Saturating, as a datagram may carry any values.
         self.hosts = self.hosts.saturating_add(hosts);
         for one in usage {
             let sum = self.usage.entry(one.service, || Usage {
@@ -553,7 +555,7 @@
     }
 }
 
-/// The order in which the hosts of a data centre are taken as its hub.
+/// Sort key of hosts: by data centre, and within it the order in which hosts become its hub.
 fn hub_order<'a>(
     data_centre: &'a DataCentre,
     host: &'a HostId,
@@ -567,13 +569,13 @@
     messages.collect()
 }
 
-/// Whether the other hubs are to be told at once that a host's use has changed.
+/// Whether a change of a host's usage is sent to the other hubs at once: its retries or waiting hosts differ.
 fn is_urgent(before: &[Usage], usage: &[Usage]) -> bool {
     let key = |u: &Usage| (u.service, u.retries, u.waiting);
     !before.iter().map(key).eq(usage.iter().map(key))
 }
 
-/// Keeps what a host told, unless it is older than what is held; returns whether it was kept.
+/// Stores a report unless a newer one of the same incarnation is held; returns whether it was stored.
 fn store_newer(all: &mut Sorted<HostId, PeerReport>, host: &HostId, report: PeerReport) -> bool {
     let is_old =
         |held: &PeerReport| held.incarnation == report.incarnation && report.seq <= held.seq;
--- a/crates/membership/src/gossip/message.rs
+++ b/crates/membership/src/gossip/message.rs
@@ -1,73 +1,74 @@
-//! The messages between hosts.
+//! The datagrams that hosts exchange.
 
 use base::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// The windows in which requests are counted: this one, that half a window before, and that before.
+/// Number of windows in which requests are counted: the current one, the one half a window earlier, and the
+/// one before that.
 pub const WINDOWS: usize = 3;
 
-/// The use of the retry budget of one service within the last window, by one host or by several.
+/// The usage of one service's retry budget, by one host or summed over several.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// The hash of the service's name.
+    /// Hash of the service name.
     pub service: u32,
-    /// The requests, in each of the windows.
+    /// Requests in each of the [`WINDOWS`].
     pub requests: [u32; WINDOWS],
-    /// The repeats.
+    /// Retries within the last window.
     #[serde(rename = "repeats")]
     pub retries: u32,
-    /// The hosts with requests that wait for a repeat.
+    /// Number of hosts with requests that wait for a retry; 0 or 1 for one host.
     pub waiting: u32,
 }
 
-/// A server that a host found to be gone.
+/// A server that a host found to have failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailedServer {
-    /// The hash of the server's id.
+    /// Hash of the server id.
     pub server: u32,
-    /// How long ago, in milliseconds.
+    /// Time since it was found, in milliseconds.
     pub age: u32,
 }
 
-/// A message between hosts.
+/// A datagram from one host to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// The sender.
+    /// Name of the sender.
     pub host: HostId,
-    /// Its life.
+    /// Incarnation of the sender.
     pub incarnation: Incarnation,
-    /// The number of the message in this life.
+    /// Sequence number within the incarnation.
     pub seq: u64,
-    /// Whether the sender stops and is to be forgotten.
+    /// Whether the sender is stopping, so that the receiver drops its reports.
     pub leaves: bool,
-    /// The servers found to be gone lately.
+    /// Servers that failed recently, whoever found it.
     #[serde(rename = "lost")]
     pub failed: Vec<FailedServer>,
-    /// What the message is for.
+    /// Usage of the sender, of its data centre or of all others.
     pub body: Body,
 }
 
-/// What a message is for.
+/// The kinds of message, by sender and receiver.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// From a host to the hub of its data centre: its own use.
+    /// From a host to the hub of its data centre: its own usage.
     Digest(Vec<Usage>),
-    /// From a hub to another: the use of the hosts that it serves.
+    /// From a hub to another: the usage of the hub and its members.
     Centre {
-        /// How many these are, the hub included.
+        /// Number of hosts summed, the hub included.
         hosts: u32,
-        /// The sums of their use.
+        /// Sums by service.
         usage: Vec<Usage>,
     },
-    /// From a hub to a host that it serves: the use of all other hosts.
+    /// From a hub to a member: the usage of all other hosts.
     Others {
-        /// The number of the host's digest that is answered; 0 if the message only tells of lost servers.
+        /// Sequence number of the digest that is answered; 0 if the message only carries failed servers.
         digest: u64,
-        /// The hosts that are heard of, the receiver included.
+        /// Number of reporting hosts, the receiver included.
         hosts: u32,
-        /// The sums of the use of the others.
+        /// Sums by service over the hosts other than the receiver.
         usage: Vec<Usage>,
-        /// For each of `usage`, the hosts with waiting requests that come before the receiver.
+        /// For each entry of `usage`, the number of waiting hosts that come before the receiver.
         ranks: Vec<u32>,
     },
 }
--- a/crates/membership/src/heartbeat.rs
+++ b/crates/membership/src/heartbeat.rs
@@ -1,81 +1,85 @@
-//! The message that agents exchange.
+//! The heartbeat message that agents exchange.
+//!
+//! A heartbeat carries the changes that its receiver has not acknowledged; the receiver acknowledges by
+//! `echo` in its own heartbeats. An answer to a heartbeat is a heartbeat too.
 
 use base::prelude::*;
 use serde::{Deserialize, Serialize};
 
 use crate::listed::Place;
 
-/// A heartbeat, as question and as answer.
+/// A heartbeat, as request and as answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The sender.
+    /// Host of the sending agent.
     pub host: HostId,
-    /// Its life.
+    /// Incarnation of the sending agent.
     pub incarnation: Incarnation,
-    /// The number of the beat in this life of the sender.
+    /// Sequence number within the sender's incarnation.
     pub seq: u64,
-    /// The life of the receiver that the sender has last heard of.
+    /// The receiver's incarnation that `echo` refers to, as last known to the sender.
     #[serde(rename = "to")]
     pub peer_incarnation: Incarnation,
-    /// The highest number that the sender has seen from that life.
+    /// The highest sequence number up to which the sender has applied that incarnation's heartbeats.
     ///
-    /// It proves that the sender was running after that beat, and that it has all that the beat
-    /// carried.
+    /// It proves that the sender was running after that heartbeat was sent, and that it has all that the
+    /// heartbeat carried.
     pub echo: u64,
-    /// Whether the beat tells all, not only what has changed since the receiver's last echo.
+    /// Whether this is a full snapshot rather than the changes since the receiver's last echo.
     #[serde(rename = "whole")]
     pub is_full: bool,
-    /// Whether the sender's host leaves.
+    /// Whether the sender's host is leaving.
     pub leaving: bool,
-    /// Where the sender is reached, until the receiver has shown that it knows.
+    /// Addresses of the sender's host; `None` once the receiver has acknowledged a heartbeat, and while the
+    /// host list has not confirmed them.
     pub place: Option<Place>,
-    /// What the sender knows of hosts and the receiver may not.
+    /// Changes of other hosts.
     pub hosts: Vec<HostUpdate>,
-    /// What the sender knows of backend servers and the receiver may not.
+    /// Changes of backend servers other than their load.
     pub backends: Vec<BackendUpdate>,
-    /// Loads that have changed since the receiver last heard of them.
+    /// Changes of the load of backend servers.
     pub loads: Vec<LoadUpdate>,
 }
 
-/// What an agent says of another host.
+/// The state of another host, as reported by an agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostUpdate {
-    /// The host.
+    /// The host reported on.
     pub host: HostId,
-    /// The life of which this is said.
+    /// The incarnation reported on; `None` if the agent knows of none yet.
     pub incarnation: Option<Incarnation>,
-    /// Whether it leaves.
+    /// Whether it is leaving.
     pub leaving: bool,
-    /// Whether it answers.
+    /// Whether the agent takes it as running.
     pub alive: bool,
 }
 
-/// What an agent says of a backend server.
+/// The state of a backend server other than its load, as reported by an agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendUpdate {
-    /// The backend server.
+    /// The backend server reported on.
     pub backend: BackendId,
-    /// The life of which this is said.
+    /// The incarnation reported on.
     pub incarnation: Incarnation,
-    /// Whether it leaves.
+    /// Whether it is leaving.
     pub leaving: bool,
-    /// Whether it answers.
+    /// Whether it answers polls.
     pub alive: bool,
-    /// The most requests that it runs at once.
+    /// Maximum number of concurrent requests.
     pub slots: u64,
-    /// The models that it holds.
+    /// The models that it has loaded.
     pub models: Vec<Model>,
 }
 
-/// The load of a backend server.
+/// The load of a backend server, as reported by an agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadUpdate {
-    /// The backend server.
+    /// The backend server reported on.
     pub backend: BackendId,
-    /// The requests that it runs.
+    /// Number of running requests.
     pub running: u64,
-    /// The requests that wait there.
+    /// Number of queued requests.
     pub queued: u64,
-    /// The age of the report when it was sent on.
+    /// Age of the figures when this update was sent.
     pub age: Millis,
 }
--- a/crates/membership/src/hosts.rs
+++ b/crates/membership/src/hosts.rs
@@ -1,4 +1,7 @@
-//! One entry host as this agent believes it to be.
+//! The view that this agent has of one entry host.
+//!
+//! A host that was suspect or dead counts as alive again only after a challenge: it must echo a sequence
+//! number issued after its return. That proves that it runs now, while a message alone may be a delayed one.
 
 use base::prelude::*;
 use serde::Serialize;
@@ -8,61 +11,61 @@
 use crate::listed::Place;
 use crate::policy::Policy;
 
-/// How many earlier lives are remembered, so that late news of them is known as such.
+/// How many past incarnations are remembered, so that late messages from them are recognised.
 const PAST_INCARNATIONS: usize = 8;
 
-/// Whether a host is heard of.
+/// Liveness of a host, by the time since its last message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Display, IntoStaticStr)]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Status {
-    /// Listed, and not yet heard of.
+    /// Listed, but no message received yet.
     Unknown,
-    /// Heard of lately.
+    /// Within the suspicion timeout.
     Alive,
-    /// Not heard of for a while.
+    /// Past the suspicion timeout.
     Suspect,
-    /// Not heard of for long.
+    /// Past the death timeout.
     Dead,
-    /// Heard of again after a silence, and not yet shown to run now.
+    /// Received from again, but the challenge is not answered yet.
     Returning,
 }
 
-/// One life of a member and the lives before it.
+/// The incarnation of a member, whether it is leaving, and its past incarnations.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Lifecycle {
-    /// The life, if one was heard of.
+    /// The current incarnation; `None` until one is reported.
     pub incarnation: Option<Incarnation>,
-    /// Whether it leaves; it does not become false again within a life.
+    /// Whether it is leaving; never reset within an incarnation.
     pub leaving: bool,
-    /// Whether the host list named it as leaving when it was first seen there.
+    /// Whether the first reading of the host list marked it as leaving.
     ///
-    /// The lagging list may mean an earlier life; this counts until the list says otherwise, and
-    /// for good once the list has held on to it for as long as it may lag.
+    /// As the list lags, the mark may refer to a past incarnation. It counts until the list drops it, and
+    /// becomes final (`leaving`) once the list still has it after its maximum lag.
     #[serde(rename = "doubtful")]
     pub maybe_leaving: bool,
-    /// When it was first listed or heard of.
+    /// When the incarnation was first reported, or the member first listed.
     #[serde(rename = "born")]
     pub first_observed: Millis,
     past: Vec<Incarnation>,
-    /// What the host list said last, if it was read.
+    /// Whether the last reading of the host list marked it as leaving; `None` before the first.
     #[serde(rename = "listed")]
     listed_leaving: Option<bool>,
 }
 
-/// What news of an incarnation means.
+/// How a reported incarnation relates to the known ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Observed {
-    /// It is the life already known.
+    /// The current incarnation.
     Same,
-    /// It is a life not heard of before.
+    /// An incarnation not reported before.
     New,
-    /// It is an earlier life.
+    /// A past incarnation.
     Past,
 }
 
 impl Lifecycle {
-    /// A member that was just found in the host list.
+    /// A member without a known incarnation, first listed at `now`.
     pub fn new(now: Millis) -> Self {
         Self {
             first_observed: now,
@@ -70,7 +73,8 @@
         }
     }
 
-    /// A life of which the host list cannot have heard before.
+    /// An incarnation that starts now. A leaving mark that the host list has from the start is ignored until
+    /// the maximum lag has passed, as it refers to a previous incarnation.
     pub fn with_incarnation(now: Millis, incarnation: Incarnation) -> Self {
         Self {
             incarnation: Some(incarnation),
@@ -80,12 +84,12 @@
         }
     }
 
-    /// Whether it is to get no new work.
+    /// Whether it should get no new work.
     pub fn is_leaving(&self) -> bool {
         self.leaving || self.maybe_leaving
     }
 
-    /// Takes in news of an incarnation; a new one begins without leaving.
+    /// Applies an incarnation reported by the member itself; a new one starts as not leaving.
     pub fn observe(&mut self, now: Millis, incarnation: Incarnation) -> Observed {
         if self.incarnation == Some(incarnation) {
             return Observed::Same;
@@ -97,7 +101,8 @@
         Observed::New
     }
 
-    /// Begins a life by hearsay, which does not prove that the one before has ended.
+    /// Switches to an incarnation reported by a third party. The previous one is not recorded as past, since
+    /// such a report does not prove that it has ended.
     pub fn begin_reported(&mut self, now: Millis, incarnation: Incarnation) {
         self.past.retain(|p| *p != incarnation);
         let before = self.incarnation.replace(incarnation);
@@ -108,10 +113,10 @@
         self.first_observed = now;
     }
 
-    /// Begins another life.
+    /// Switches to another incarnation and records the previous one as past.
     pub fn begin(&mut self, now: Millis, incarnation: Incarnation) {
         if let Some(old) = self.incarnation.replace(incarnation) {
-            // Without an earlier life, what was said of it holds for this one.
+            // Reset only if there was a previous incarnation; otherwise the marks refer to this one.
             self.leaving = false;
             self.maybe_leaving = false;
             self.past.push(old);
@@ -121,14 +126,14 @@
         self.first_observed = now;
     }
 
-    /// Takes in what the host list says.
+    /// Applies the leaving mark of the host list, which lags by at most `lag`.
     pub fn apply_listed(&mut self, now: Millis, leaving: bool, lag: Millis) {
         let before = self.listed_leaving.replace(leaving);
         if !leaving {
             self.maybe_leaving = false;
             return;
         }
-        // What the list said before this life began may hold for the life before.
+        // Within the lag after the incarnation began, the mark may refer to the previous one.
         let is_current = now.since(self.first_observed) >= lag;
         if before == Some(false) || is_current {
             self.leaving = true;
@@ -138,47 +143,48 @@
     }
 }
 
-/// An entry host.
+/// An entry host other than this agent's own.
 #[derive(Clone, Debug, Serialize)]
 pub struct Host {
-    /// Where it is reached.
+    /// Data centre and addresses.
     pub place: Place,
-    /// Its life.
+    /// Incarnations, and whether it is leaving.
     #[serde(rename = "life")]
     pub lifecycle: Lifecycle,
-    /// How it stands.
+    /// Liveness as of the last check or message.
     #[serde(rename = "standing")]
     pub status: Status,
-    /// Whether the host list names it now.
+    /// Whether the last reading of the host list contains it.
     pub is_listed: bool,
-    /// When it was last heard of, or first listed.
+    /// When it last sent a message, or the partner in its data centre last reported on it; initially when it
+    /// became known.
     #[serde(rename = "heard")]
     pub last_report: Millis,
-    /// The highest number of its beats up to which nothing that it told is missing here.
+    /// The highest sequence number up to which all its updates have been applied here; sent as `echo`.
     #[serde(rename = "seen")]
     pub received_seq: u64,
-    /// Whether it has told all once.
+    /// Whether it has sent a full snapshot since the last reset.
     pub synced: bool,
-    /// The highest of this agent's numbers that it last showed to have.
+    /// The last `echo` received: this agent's sequence number that the host has acknowledged.
     #[serde(rename = "acked")]
     pub acked_seq: u64,
-    /// The number that it must show before it is trusted again.
+    /// The sequence number that a returning host must echo before it counts as alive.
     challenge: u64,
-    /// When a beat was last sent to it.
+    /// When a heartbeat was last sent to it; `None` before the first.
     #[serde(rename = "beaten")]
     pub last_sent: Option<Millis>,
-    /// Whether beats go to and fro between it and this agent.
+    /// Whether a heartbeat of its current incarnation has been received.
     #[serde(rename = "exchanges")]
     pub is_exchanging: bool,
-    /// Whether a beat is due now, whenever the last one was sent.
+    /// Whether a heartbeat is to be sent now, regardless of `last_sent`.
     pub is_due: bool,
-    /// The number of the change by which this agent's belief came about.
+    /// Sequence number of the last change of this agent's view of it.
     #[serde(rename = "changed")]
     pub last_change: u64,
 }
 
 impl Host {
-    /// A host that was not yet heard of.
+    /// A host from which no message has been received.
     pub fn new(now: Millis, place: Place) -> Self {
         Self {
             place,
@@ -197,14 +203,16 @@
         }
     }
 
-    /// Whether it runs, as far as is known.
+    /// Whether it can be taken as running: alive, or listed without a message so far.
     pub fn is_usable(&self) -> bool {
         matches!(self.status, Status::Alive | Status::Unknown)
     }
 
-    /// Takes in a beat of this life; `echo` is the last number that the host has shown to have.
+    /// Applies a heartbeat of the current incarnation; `echo` is this agent's sequence number that it
+    /// acknowledges.
     ///
-    /// The silence before it must have been judged, so that it shows after a pause of either side.
+    /// The caller must call [`Host::apply_timeouts`] first if the host is subject to them, as this resets the
+    /// time since the last message; otherwise a pause of either side goes unnoticed.
     pub fn receive(&mut self, now: Millis, heartbeat: &Heartbeat, echo: u64) {
         self.last_report = now;
         self.is_exchanging = true;
@@ -215,7 +223,7 @@
         self.acked_seq = echo;
     }
 
-    /// Judges the host by a beat with this echo, where `sent` is the last number issued here.
+    /// Updates the status on a heartbeat with this echo; `sent` is the last sequence number issued here.
     pub fn update_status(&mut self, echo: u64, sent: u64) {
         match self.status {
             Status::Unknown => self.status = Status::Alive,
@@ -229,7 +237,7 @@
         }
     }
 
-    /// Takes in what another host of its data centre says; returns whether it is another life.
+    /// Applies the report of another host of its data centre; returns whether the incarnation differs.
     pub fn apply_report(&mut self, now: Millis, update: &HostUpdate) -> bool {
         let is_other =
             update.incarnation.is_some() && self.lifecycle.incarnation != update.incarnation;
@@ -246,20 +254,20 @@
         is_other
     }
 
-    /// Has the host tell all again.
+    /// Discards what was received, so that the echo makes the host send a full snapshot again.
     pub fn resync(&mut self) {
         self.received_seq = 0;
         self.synced = false;
     }
 
-    /// Trusts the host again if it shows a number that was issued after its return.
+    /// Marks the host as alive if it echoes a sequence number issued after its return.
     fn check_challenge(&mut self, echo: u64) {
         if echo >= self.challenge {
             self.status = Status::Alive;
         }
     }
 
-    /// Starts a new life: nothing sent to the one before counts.
+    /// Resets the exchange for a new incarnation, which has received nothing of what was sent so far.
     pub fn reset(&mut self) {
         self.resync();
         self.acked_seq = 0;
@@ -268,17 +276,17 @@
         self.status = Status::Unknown;
     }
 
-    /// Judges the silence, where beats go out to the host every `period`.
+    /// Marks the host as suspect or dead by the time since its last message, given its heartbeat `period`.
     pub fn apply_timeouts(&mut self, now: Millis, policy: &Policy, period: Millis) {
-        let silence = now.since(self.last_report);
-        if silence >= policy.dead_after(period) {
+        let elapsed = now.since(self.last_report);
+        if elapsed >= policy.dead_after(period) {
             self.status = Status::Dead;
-        } else if silence >= policy.suspect_after(period) && self.status == Status::Alive {
+        } else if elapsed >= policy.suspect_after(period) && self.status == Status::Alive {
             self.status = Status::Suspect;
         }
     }
 
-    /// What this agent says of it.
+    /// The update on this host for other agents.
     pub fn update(&self, host: &HostId) -> HostUpdate {
         HostUpdate {
             host: host.clone(),
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,7 +1,7 @@
-//! Which entry hosts and backend servers there are, which of them live, and which of them leave.
+//! Membership: which entry hosts and backend servers exist, which are alive, and which are leaving.
 //!
-//! Pure: the host list, heartbeats, answers of backend servers and the time come in; heartbeats to
-//! send, backend servers to ask and the merged belief go out. The crate knows nothing of sockets.
+//! The crate does no I/O. Its inputs are the host list, received heartbeats, poll results and the time;
+//! its outputs are the heartbeats and polls to send and the merged view of all members.
 
 pub mod backends;
 pub mod gossip;
--- a/crates/membership/src/listed.rs
+++ b/crates/membership/src/listed.rs
@@ -1,43 +1,43 @@
-//! What the platform's host list says.
+//! Entries of the platform's host list.
 
 use std::net::SocketAddr;
 
 use base::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// An entry host of the list.
+/// An entry host in the host list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedHost {
-    /// The host.
+    /// Unique name; the list is sorted by it.
     pub host: HostId,
-    /// Where it is.
+    /// Data centre and addresses.
     pub place: Place,
-    /// Whether the list says that it leaves.
+    /// Whether the list marks it as leaving.
     pub leaving: bool,
 }
 
-/// Where an entry host is reached.
+/// The data centre and the addresses of an entry host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Place {
-    /// Its data centre.
+    /// Data centre of the host.
     pub data_centre: DataCentre,
-    /// Where its router takes calls of its peers.
+    /// Address on which its router accepts peer calls.
     pub router: SocketAddr,
-    /// Where its agent takes calls of its peers.
+    /// Address on which its agent accepts peer calls.
     pub agent: SocketAddr,
 }
 
-/// A backend server of the list.
+/// A backend server in the host list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedBackend {
-    /// The backend server.
+    /// Unique name; the list is sorted by it.
     pub backend: BackendId,
-    /// The service of which it is a part.
+    /// The service that it belongs to.
     pub service: ServiceName,
-    /// Its data centre.
+    /// The data centre whose agents poll it.
     pub data_centre: DataCentre,
-    /// Where it takes requests.
+    /// Address on which it accepts requests and polls.
     pub addr: SocketAddr,
-    /// Whether the list says that it leaves.
+    /// Whether the list marks it as leaving.
     pub leaving: bool,
 }
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -1,4 +1,7 @@
-//! All that an agent believes of hosts and backend servers, and what it tells its peers.
+//! The view that an agent has of all hosts and backend servers, and the heartbeats that spread it.
+//!
+//! Agents of one data centre exchange heartbeats with each other; each also exchanges them with one partner
+//! in each of a few other data centres, which reports on all members there.
 
 use std::net::SocketAddr;
 
@@ -14,32 +17,32 @@
 use crate::own::OwnHost;
 use crate::policy::{Policy, scaled};
 
-/// With how many other data centres an agent exchanges beats.
+/// Maximum number of other data centres with which an agent exchanges heartbeats.
 const MAX_PARTNERS: usize = 3;
 
-/// Beats to another data centre and to dead hosts go out once in so many periods.
+/// Heartbeats to other data centres and to dead hosts are sent once in this many periods.
 const SLOW_FACTOR: u64 = 6;
 
-/// What the agent has to do.
+/// An I/O operation for the caller of [`Members::tick`] to run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send a beat and take in the answer.
+    /// Send a heartbeat and apply the answer by [`Members::receive`].
     Heartbeat {
-        /// The host.
+        /// The receiving host.
         host: HostId,
-        /// Where its agent takes calls.
+        /// Address on which its agent accepts peer calls.
         addr: SocketAddr,
     },
-    /// Ask a backend server for its load and take in the answer.
+    /// Poll a backend server and apply the answer by [`Members::apply_poll_result`].
     Poll {
-        /// The backend server.
+        /// The backend server to poll.
         backend: BackendId,
-        /// Where it is.
+        /// Address on which it accepts polls.
         addr: SocketAddr,
     },
 }
 
-/// All members.
+/// All hosts and backend servers.
 #[derive(Clone, Debug, Serialize)]
 pub struct Members {
     #[serde(skip)]
@@ -47,20 +50,20 @@
     own: OwnHost,
     hosts: Sorted<HostId, Host>,
     backends: Sorted<BackendId, Backend>,
-    /// The hosts of other data centres that speak for these.
+    /// The hosts with which heartbeats to other data centres are exchanged, one per data centre.
     partners: Vec<HostId>,
-    /// The live hosts of the data centre among which the watching is shared.
+    /// The live hosts of the data centre, sorted, among which the polling of its servers is divided.
     #[serde(rename = "sharing")]
     polling_hosts: Vec<HostId>,
-    /// The last number issued, to a beat or to a change.
+    /// The last sequence number issued, to a heartbeat or to a change.
     #[serde(rename = "count")]
     last_seq: u64,
-    /// The number of the last change that a router should hear of.
+    /// Sequence number of the last change that routers are notified of.
     revision: u64,
 }
 
 impl Members {
-    /// Members without anybody but this agent's own host.
+    /// A view of this agent's own host only.
     pub fn new(own: OwnHost, policy: Policy) -> Self {
         let sharing = vec![own.host.clone()];
         Self {
@@ -75,27 +78,27 @@
         }
     }
 
-    /// The host of this agent.
+    /// The host that this agent runs on.
     pub fn own(&self) -> &OwnHost {
         &self.own
     }
 
-    /// The other hosts.
+    /// The other hosts in order of name.
     pub fn hosts(&self) -> impl Iterator<Item = (&HostId, &Host)> {
         self.hosts.iter()
     }
 
-    /// The backend servers.
+    /// The backend servers in order of name.
     pub fn backends(&self) -> impl Iterator<Item = (&BackendId, &Backend)> {
         self.backends.iter()
     }
 
-    /// The number of the last change that a router should hear of.
+    /// Sequence number of the last change that routers are notified of.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Takes no new work on this host from now on, for the rest of this life.
+    /// Marks this host as leaving for the rest of this incarnation, so that it gets no new work.
     pub fn leave(&mut self) {
         if !self.own.lifecycle.leaving {
             self.own.lifecycle.leaving = true;
@@ -104,7 +107,7 @@
         }
     }
 
-    /// Takes in the host list; both parts are sorted by name.
+    /// Applies the host list; both slices must be sorted by name.
     pub fn apply_host_list(
         &mut self,
         now: Millis,
@@ -118,7 +121,7 @@
         let count = self.hosts.len();
         self.hosts.retain(|id, host| {
             host.is_listed = hosts.binary_search_by(|l| l.host.cmp(id)).is_ok();
-            // A host that beats is there, whatever the lagging list says.
+            // A host that sends heartbeats exists even if the lagging list lacks it.
             let is_responding = !matches!(host.status, Status::Unknown | Status::Dead);
             host.is_listed || (is_responding && host.place.data_centre == here)
         });
@@ -136,7 +139,7 @@
         }
     }
 
-    /// Judges silences and says what is due.
+    /// Applies timeouts, chooses partners and watchers, and appends the heartbeats and polls due to `out`.
     pub fn tick(&mut self, now: Millis, out: &mut Vec<Action>) {
         self.refresh(now);
         self.choose_partners();
@@ -145,9 +148,9 @@
         self.polls_due(now, out);
     }
 
-    /// Judges the silence of the peers, and of those who spoke for backend servers.
+    /// Applies the timeouts of peers and of claims on backend servers.
     ///
-    /// Needed before anything is read out, as this process may have been paused.
+    /// Must be called before the view is read, as this process may have been paused.
     pub fn refresh(&mut self, now: Millis) {
         let policy = self.policy;
         let here = self.own.place.data_centre.clone();
@@ -155,7 +158,7 @@
         let mut changed = Vec::new();
         for (id, host) in self.hosts.iter_mut() {
             let is_near = host.place.data_centre == here;
-            // Other hosts of other data centres exchange no beats with this agent.
+            // In other data centres only partners exchange heartbeats with this agent.
             if !is_near && !self.partners.contains(id) {
                 continue;
             }
@@ -168,12 +171,12 @@
         for id in changed {
             self.record_host_change(&id);
         }
-        // Gives up backend servers of which nobody has spoken for long.
+        // Expires the claims on backend servers that were not confirmed for long.
         let limit = policy.claim_ttl.max(policy.dead_after(far));
         self.update_backends(|b| b.expire_claims(now, limit));
     }
 
-    /// The beat for a peer, as question or as answer.
+    /// The next heartbeat for a peer, as request or as answer.
     pub fn heartbeat(&mut self, now: Millis, to: &HostId) -> Heartbeat {
         self.last_seq += 1;
         let peer = self.hosts.get(to);
@@ -199,7 +202,7 @@
         heartbeat
     }
 
-    /// Takes in a beat, be it a question or an answer.
+    /// Applies a received heartbeat, be it a request or an answer.
     pub fn receive(&mut self, now: Millis, heartbeat: Heartbeat) {
         if heartbeat.host == self.own.host {
             return;
@@ -216,13 +219,13 @@
         let place = self.hosts.get(&heartbeat.host).map(|h| h.place.clone());
         let is_near = place.is_none_or(|p| self.is_near(&p));
         let period = self.period(is_near);
-        let is_judged = is_near || self.partners.contains(&heartbeat.host);
+        let has_timeout = is_near || self.partners.contains(&heartbeat.host);
         let (own, sent) = (self.own.incarnation(), self.last_seq);
         let Some(host) = self.hosts.get_mut(&heartbeat.host) else {
             return;
         };
         let before = host.update(&heartbeat.host);
-        if is_judged {
+        if has_timeout {
             host.apply_timeouts(now, &policy, period);
         }
         let observed = host.lifecycle.observe(now, heartbeat.incarnation);
@@ -231,15 +234,15 @@
             Observed::New => host.reset(),
             Observed::Same => {}
         }
-        // Numbers of an earlier life of this agent say nothing of this one.
+        // An echo to a past incarnation of this agent acknowledges nothing of the current one.
         let echo = if heartbeat.peer_incarnation == own {
             heartbeat.echo
         } else {
             0
         };
         host.receive(now, &heartbeat, echo);
-        // Of the other hosts of another data centre the partner there tells.
-        if is_judged || host.status == Status::Unknown {
+        // The status of the other hosts of another data centre is reported by the partner there.
+        if has_timeout || host.status == Status::Unknown {
             host.update_status(echo, sent);
         }
         host.lifecycle.leaving |= heartbeat.leaving;
@@ -250,13 +253,13 @@
             self.record_host_change(&heartbeat.host);
         }
         if observed == Observed::New {
-            // The new life begins to tell from the start.
+            // A new incarnation sends a full snapshot.
             self.update_backends(|b| b.drop_claim(now, &heartbeat.host));
         }
         self.apply_updates(now, heartbeat);
     }
 
-    /// Takes in the answer of a backend server, or its lack.
+    /// Applies the result of a poll by this agent; `None` if there was no answer.
     pub fn apply_poll_result(&mut self, now: Millis, backend: &BackendId, report: Option<Report>) {
         let Some(known) = self.backends.get_mut(backend) else {
             return;
@@ -322,7 +325,7 @@
         self.record_backend_change(&listed.backend, Changed { state, load: false });
     }
 
-    /// Shares the watching anew if the live hosts of the data centre have changed.
+    /// Reassigns the watchers of backend servers if the live hosts of the data centre have changed.
     fn share_polling(&mut self) {
         let is_sharing =
             |h: &Host| h.is_usable() && !h.lifecycle.is_leaving() && self.is_near(&h.place);
@@ -344,7 +347,7 @@
         let count = &mut self.last_seq;
         for (_, backend) in self.backends.iter_mut() {
             if backend.listed.data_centre == *here && backend.assign_watchers(&self.polling_hosts) {
-                // A new watcher has told nobody yet.
+                // A new watcher has not sent its claim to any agent yet.
                 *count += 1;
                 backend.last_change = *count;
                 backend.load_change = *count;
@@ -352,9 +355,10 @@
         }
     }
 
-    /// Beats that are due.
+    /// Adds the heartbeats that are due.
     ///
-    /// Of two hosts that hear each other the one lower by name asks, as the answer is a beat too.
+    /// Of two hosts that receive each other's heartbeats only the one lower by name sends requests, as the
+    /// answer is a heartbeat too.
     fn heartbeats_due(&mut self, now: Millis, out: &mut Vec<Action>) {
         let period = self.period(true);
         let here = self.own.place.data_centre.clone();
@@ -386,7 +390,7 @@
         }
     }
 
-    /// Backend servers that are due to be asked by this agent.
+    /// Adds the polls by this agent that are due.
     fn polls_due(&mut self, now: Millis, out: &mut Vec<Action>) {
         let own = &self.own.host;
         let is_watched = |b: &Backend| b.watchers.contains(own);
@@ -405,13 +409,13 @@
         }
     }
 
-    /// Chooses one host of each of a few other data centres.
+    /// Chooses the partners: one host in each of up to [`MAX_PARTNERS`] other data centres.
     fn choose_partners(&mut self) {
         let partners = self.preferred_partners();
         for id in &partners {
             let is_new = !self.partners.contains(id);
             if let Some(host) = self.hosts.get_mut(id).filter(|_| is_new) {
-                // What another host of that data centre has said is no longer followed.
+                // The previous partner's updates are no longer followed, so a full snapshot is requested.
                 host.resync();
             }
         }
@@ -437,7 +441,7 @@
                 .filter(|(_, h)| h.place.data_centre == *centre);
             let preferred = |(id, h): &(&HostId, &Host)| {
                 let is_dead = h.status == Status::Dead || h.lifecycle.is_leaving();
-                // Dead hosts are asked in turn, as one of them may be back.
+                // If all are dead or leaving, they are tried in turn, as one may be back.
                 let turn = is_dead.then_some(std::cmp::Reverse(h.last_sent));
                 let weight = rendezvous(self.own.host.as_str(), id.as_str());
                 (!is_dead, turn, weight)
@@ -447,7 +451,8 @@
         centres.iter().filter_map(|(_, c)| partner(c)).collect()
     }
 
-    /// What a peer should hear of hosts: of its own data centre those that leave, else all.
+    /// The host updates for a peer that has acknowledged up to `acked`: on all hosts of this data centre if
+    /// the peer is in another one, else on its leaving hosts only.
     fn host_updates(&self, to: &HostId, acked: u64, is_far: bool) -> Vec<HostUpdate> {
         let is_included = |(id, h): &(&HostId, &Host)| {
             let is_relevant = is_far || h.lifecycle.leaving;
@@ -457,7 +462,10 @@
         included.map(|(id, h)| h.update(id)).collect()
     }
 
-    /// Adds what a peer should hear of a backend server.
+    /// Adds the update on a backend server of this data centre to a heartbeat for a peer.
+    ///
+    /// A peer of this data centre gets the own claim of each watcher and the load from the first one; a peer
+    /// of another data centre gets the merged view.
     fn add_backend_update(
         &self,
         now: Millis,
@@ -480,7 +488,7 @@
         }
     }
 
-    /// Takes in what a beat says of others.
+    /// Applies the updates on other hosts and on backend servers in a heartbeat.
     fn apply_updates(&mut self, now: Millis, heartbeat: Heartbeat) {
         let is_partner = self.partners.contains(&heartbeat.host);
         for update in heartbeat.hosts {
@@ -506,10 +514,10 @@
             let changed = found.map(|b| b.apply_load(now, from, update));
             self.record_backend_change(&update.backend, changed.unwrap_or_default());
         }
-        // What the sender does not mention is as it last said.
+        // What the heartbeat leaves out is unchanged since the sender last reported it.
         let here = self.own.place.data_centre.clone();
         self.update_backends(|b| {
-            // An agent that does not ask a backend server has no news of it to leave out.
+            // Not for servers of this data centre that the sender does not poll: it sends no updates on them.
             if b.listed.data_centre != here || b.watchers.contains(from) {
                 b.confirm(now, from)
             } else {
@@ -518,7 +526,8 @@
         });
     }
 
-    /// Takes in what another agent says of a host.
+    /// Applies an update on a host. Its status counts only for a host of another data centre, and only from
+    /// the partner there.
     fn apply_host_update(&mut self, now: Millis, update: HostUpdate, is_partner: bool) {
         if update.host == self.own.host {
             if update.leaving && update.incarnation == Some(self.own.incarnation()) {
@@ -548,7 +557,7 @@
         place.data_centre == self.own.place.data_centre
     }
 
-    /// The time between beats to a host of this data centre, or to one of another.
+    /// The heartbeat period to a host of this data centre, or to one of another.
     fn period(&self, is_near: bool) -> Millis {
         let near = self.hosts.iter().filter(|(_, h)| self.is_near(&h.place));
         let period = self.policy.heartbeat_period(near.count());
@@ -559,9 +568,10 @@
         }
     }
 
-    /// Has the next beats go out at once, as something leaves and others must hear of it soon.
+    /// Makes the next heartbeats due now, as a host or a server is leaving and must get no new work.
     ///
-    /// What was heard from another agent of the data centre goes to other data centres only.
+    /// `is_local` means that this agent observed it itself. If another agent of the data centre reported it,
+    /// only peers of other data centres are sent heartbeats, since that agent informs its own data centre.
     fn expedite_heartbeats(&mut self, is_local: bool) {
         let here = self.own.place.data_centre.clone();
         for (_, host) in self.hosts.iter_mut() {
@@ -575,7 +585,7 @@
         }
     }
 
-    /// Numbers a change that a router should hear of.
+    /// Assigns a sequence number to a change that routers are notified of.
     fn record_change(&mut self) {
         self.last_seq += 1;
         self.revision = self.last_seq;
@@ -588,7 +598,7 @@
         }
     }
 
-    /// Changes every backend server.
+    /// Applies `change` to every backend server and records what has changed.
     fn update_backends(&mut self, mut change: impl FnMut(&mut Backend) -> Changed) {
         let mut changes = Vec::new();
         for (id, backend) in self.backends.iter_mut() {
--- a/crates/membership/src/own.rs
+++ b/crates/membership/src/own.rs
@@ -1,4 +1,4 @@
-//! The host of an agent.
+//! The host that an agent runs on.
 
 use base::prelude::*;
 use serde::Serialize;
@@ -6,23 +6,23 @@
 use crate::hosts::Lifecycle;
 use crate::listed::Place;
 
-/// The host of this agent.
+/// The host that this agent runs on.
 #[derive(Clone, Debug, Serialize)]
 pub struct OwnHost {
-    /// The host.
+    /// Name of the host.
     pub host: HostId,
-    /// Where it is reached.
+    /// Data centre and addresses, from the settings until the host list confirms them.
     pub place: Place,
-    /// Whether the host list has confirmed where it is reached.
+    /// Whether `place` holds the router address from the host list.
     #[serde(rename = "is_placed")]
     pub place_confirmed: bool,
-    /// The life of this agent, and whether the host takes no new work.
+    /// Incarnation of this agent, and whether the host is leaving and takes no new work.
     #[serde(rename = "life")]
     pub lifecycle: Lifecycle,
 }
 
 impl OwnHost {
-    /// A host whose agent starts now.
+    /// A host whose agent starts at `now`.
     pub fn new(now: Millis, host: HostId, place: Place, incarnation: Incarnation) -> Self {
         let lifecycle = Lifecycle::with_incarnation(now, incarnation);
         Self {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The life of this agent.
+    /// Incarnation of this agent.
     pub fn incarnation(&self) -> Incarnation {
         self.lifecycle.incarnation.unwrap_or_default()
     }
--- a/crates/membership/src/policy.rs
+++ b/crates/membership/src/policy.rs
@@ -1,27 +1,27 @@
-//! The times by which members are judged.
+//! Intervals and timeouts of heartbeats, polls and reports.
 
 use base::prelude::*;
 
-/// The times by which members are judged.
+/// Intervals and timeouts of heartbeats, polls and reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Policy {
-    /// The least time between two heartbeats to one peer.
+    /// Minimum period of heartbeats to one peer.
     pub heartbeat_min: Millis,
-    /// What each peer of the data centre adds to that time, so that the traffic stays bounded.
+    /// The heartbeat period is at least this times the peers of the data centre, which bounds the traffic.
     pub per_peer: Millis,
-    /// The least time between two questions to one backend server.
+    /// Minimum period of polls of one backend server.
     pub poll_min: Millis,
-    /// What each watched backend server adds to that time.
+    /// The poll period is at least this times the backend servers that the agent polls.
     pub per_backend: Millis,
-    /// A peer not heard of for so many of its own periods is suspect.
+    /// Heartbeat periods without a message after which a peer is suspect.
     pub suspect_periods: u64,
-    /// A peer not heard of for so many of its own periods is dead.
+    /// Heartbeat periods without a message after which a peer is dead.
     pub dead_periods: u64,
-    /// A backend server that left so many questions unanswered is dead.
+    /// Consecutive unanswered polls after which a backend server is dead.
     pub dead_polls: u32,
-    /// By how much the host list lags at most.
+    /// Maximum lag of the host list.
     pub list_lag: Millis,
-    /// What a watcher says of a backend server is no longer believed after this silence.
+    /// Minimum time without confirmation before an agent's claim on a backend server is disregarded.
     pub claim_ttl: Millis,
 }
 
@@ -42,28 +42,28 @@
 }
 
 impl Policy {
-    /// The time between two heartbeats to one peer among `peers`.
+    /// The heartbeat period of an agent with `peers` peers in its data centre.
     pub fn heartbeat_period(&self, peers: usize) -> Millis {
         self.heartbeat_min.max(scaled(self.per_peer, peers as u64))
     }
 
-    /// The time between two questions to one of `watched` backend servers.
+    /// The poll period of an agent that polls `watched` backend servers.
     pub fn poll_period(&self, watched: usize) -> Millis {
         self.poll_min.max(scaled(self.per_backend, watched as u64))
     }
 
-    /// The silence after which a peer with this period is suspect.
+    /// Time without a message after which a peer with this heartbeat period is suspect.
     pub fn suspect_after(&self, period: Millis) -> Millis {
         scaled(period, self.suspect_periods)
     }
 
-    /// The silence after which a peer with this period is dead.
+    /// Time without a message after which a peer with this heartbeat period is dead.
     pub fn dead_after(&self, period: Millis) -> Millis {
         scaled(period, self.dead_periods)
     }
 }
 
-/// A span taken `count` times.
+/// `span` times `count`, saturating.
 pub(crate) fn scaled(span: Millis, count: u64) -> Millis {
     Millis(span.0.saturating_mul(count))
 }
--- a/crates/membership/src/roster.rs
+++ b/crates/membership/src/roster.rs
@@ -1,7 +1,8 @@
-//! The backend servers that the platform's registry lists, and which of them may take new requests.
+//! The backend servers in the platform's registry, and which of them may take new requests.
 //!
-//! The registry drops the rows of servers whose heartbeats it could not take while it was away. Such
-//! rows come back soon after it does, so that a removal learned then is believed only after a while.
+//! After an outage the registry removes the rows of servers whose heartbeats it could not receive during the
+//! outage. Servers that run write their rows again soon after, so that a removal within [`RECOVERY_GRACE`]
+//! of the recovery takes effect only at the end of that time.
 
 use std::net::SocketAddr;
 
@@ -9,48 +10,49 @@
 use base::sorted::Sorted;
 use strum::IntoStaticStr;
 
-/// How long after the registry's return a row may still be missing although its server lives.
+/// How long after the registry's recovery the row of a running server may still be missing.
 pub const RECOVERY_GRACE: Millis = Millis(2_200);
 
-/// The state that a backend server reports of itself.
+/// The state that a backend server writes into its row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum State {
-    /// Takes requests.
+    /// Accepts requests.
     Serving,
-    /// Takes no new requests and ends soon.
+    /// Accepts no new requests and stops soon.
     Leaving,
 }
 
-/// A row of the registry.
+/// The content of a registry row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// The service of which the server is a part.
+    /// The service that the server belongs to.
     pub service: ServiceName,
-    /// Where it takes requests.
+    /// Address on which it accepts requests.
     pub addr: SocketAddr,
-    /// Its data centre.
+    /// Data centre of the server.
     pub centre: DataCentre,
-    /// What it reports of itself.
+    /// Whether the server accepts new requests.
     pub state: State,
-    /// The requests that it runs at once; 0 if unknown.
+    /// Maximum number of concurrent requests; 0 if unknown.
     pub slots: u64,
-    /// When the server started, in milliseconds of Unix time; 0 if unknown.
+    /// Unix time at which the server started, in milliseconds; 0 if unknown.
     pub start_time: u64,
 }
 
-/// A row and what is believed of it.
+/// A registry row with the state that this host derives for it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// The row.
+    /// The content of the last row; of the replaced server's row, but for the start time and the state, while
+    /// `is_adopted`.
     pub entry: Entry,
-    /// The registry's revision of the row.
+    /// Registry revision of the last write or removal applied; 0 while `is_adopted`.
     pub revision: u64,
-    /// When the removal of the row takes effect, if it was removed.
+    /// When the server is dropped; `None` unless its row was removed, or is awaited, after an outage.
     pub expires: Option<Millis>,
-    /// Whether a server that started later has its address.
+    /// Whether a server that started later uses the same address.
     pub is_replaced: bool,
-    /// Whether the server has no row yet and was met at the address of another one.
+    /// Whether the server was observed at the address of another one but is not registered yet.
     pub is_adopted: bool,
 }
 
@@ -63,41 +65,41 @@
     }
 }
 
-/// What a change of the registry means for the requests that a server runs.
+/// The effect of a registry change on the requests at a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum Change {
-    /// Nothing that matters to requests.
+    /// No effect on requests.
     None,
-    /// The server may be used from now on.
+    /// The server is new and accepts requests.
     Added,
-    /// The server started anew; what it ran is lost.
+    /// The server has restarted or moved; the requests that it ran are lost.
     Restarted,
-    /// The server takes no new requests.
+    /// The server accepts no new requests.
     Leaving,
-    /// The row is gone.
+    /// The row was removed.
     Removed,
-    /// The row is gone, which is believed only if it stays away.
+    /// The row was removed soon after an outage; the server stays usable until the grace time ends.
     Missing,
 }
 
-/// All backend servers that are listed.
+/// All registered backend servers, and those adopted during an outage.
 #[derive(Clone, Debug, Default)]
 pub struct Roster {
     members: Sorted<BackendId, Member>,
-    /// When the registry answered again after an outage.
+    /// When the registry recovered from its last outage; `None` if there was none.
     available_since: Option<Millis>,
-    /// Whether it does not answer now.
+    /// Whether the registry does not answer.
     is_unavailable: bool,
 }
 
 impl Roster {
-    /// The registry does not answer.
+    /// Records that the registry does not answer.
     pub fn registry_unavailable(&mut self) {
         self.is_unavailable = true;
     }
 
-    /// The registry answers; returns whether it did not before.
+    /// Records that the registry answers; returns whether this ends an outage.
     pub fn registry_available(&mut self, now: Millis) -> bool {
         let was_unavailable = std::mem::replace(&mut self.is_unavailable, false);
         if was_unavailable {
@@ -110,7 +112,7 @@
         was_unavailable
     }
 
-    /// Takes in a row, unless a newer one is held.
+    /// Applies a row unless a newer revision is held.
     pub fn put(&mut self, id: BackendId, entry: Entry, revision: u64) -> Change {
         let addr = entry.addr;
         let change = self.insert(id, entry, revision);
@@ -120,10 +122,10 @@
         change
     }
 
-    /// Marks the servers at `addr` that another one has replaced.
+    /// Marks the servers at `addr` that a later one has replaced.
     ///
-    /// The row of a server that crashed stays until its heartbeats have been missing for a while; the
-    /// one that starts in its place is listed before that.
+    /// The row of a crashed server stays until its heartbeats have been missing for a while, and the server
+    /// that starts in its place is registered before that.
     fn mark_replaced(&mut self, addr: SocketAddr) {
         let at_addr = |m: &Member| m.entry.addr == addr;
         let members = self.members.iter().filter(|(_, m)| at_addr(m));
@@ -166,10 +168,10 @@
         change
     }
 
-    /// Takes in a server without a row that was met at the address of `old`, while the registry is
-    /// away. It must be known to be of the same service.
+    /// Marks `old` as replaced, and adds the unregistered server observed at its address if the registry is
+    /// unavailable. The caller must have checked that both belong to the same service.
     ///
-    /// Its row is expected once the registry is back; without one it is dropped then.
+    /// If no row follows within [`RECOVERY_GRACE`] of the registry's recovery, the server is dropped.
     pub fn adopt(&mut self, old: &BackendId, id: &BackendId, start_time: u64) -> Change {
         let Some(held) = self.members.get_mut(old) else {
             return Change::None;
@@ -194,12 +196,12 @@
         Change::Added
     }
 
-    /// Whether the registry does not answer now.
+    /// Whether the registry does not answer.
     pub fn is_unavailable(&self) -> bool {
         self.is_unavailable
     }
 
-    /// Takes in the removal of a row, unless a newer row is held.
+    /// Applies the removal of a row unless a newer revision is held.
     pub fn remove(&mut self, id: &BackendId, revision: u64, now: Millis) -> Change {
         let grace = self.grace_ends(now);
         let Some(held) = self.members.get_mut(id) else {
@@ -221,7 +223,8 @@
         }
     }
 
-    /// Removes each row that a whole reading as of `revision` does not have.
+    /// Removes each row that is not in `listed`, the sorted ids of a full read as of `revision`, and returns
+    /// their ids.
     pub fn retain_listed(
         &mut self,
         listed: &[BackendId],
@@ -240,13 +243,13 @@
         missing
     }
 
-    /// Drops the rows whose grace is over.
+    /// Drops the servers whose grace time has ended.
     pub fn expire(&mut self, now: Millis) {
         self.members
             .retain(|_, m| m.expires.is_none_or(|at| now < at));
     }
 
-    /// The server of that id.
+    /// The server with that id; `None` if it is not listed.
     pub fn get(&self, id: &BackendId) -> Option<&Member> {
         self.members.get(id)
     }
@@ -256,7 +259,7 @@
         self.members.iter()
     }
 
-    /// How many servers are listed.
+    /// Number of servers, including those that await their expiry.
     pub fn len(&self) -> usize {
         self.members.len()
     }
@@ -266,7 +269,7 @@
         self.members.is_empty()
     }
 
-    /// Until when a removal is doubted, if it is.
+    /// When a removal received at `now` takes effect; `None` for at once.
     fn grace_ends(&self, now: Millis) -> Option<Millis> {
         let ends = self.available_since? + RECOVERY_GRACE;
         (now < ends).then_some(ends)
--- a/crates/membership/tests/host_digests.rs
+++ b/crates/membership/tests/host_digests.rs
@@ -1,20 +1,21 @@
-//! What hosts tell each other: through hubs, on virtual time, with hosts that stop or are cut off.
+//! Exchange of usage and failed servers through hubs, on virtual time, with hosts that stop or are cut off.
 
 use std::net::SocketAddr;
 
 use base::prelude::*;
 use membership::gossip::{Body, FailedServer, Gossip, ListedPeer, Message, SharedUsage, Usage};
 
-/// The time between two digests of a host, and between two looks at what has arrived.
+/// The period of digests.
 const PERIOD: Millis = Millis(500);
+/// The step of the clock; messages sent in one step arrive in the next.
 const STEP: Millis = Millis(10);
 
-/// Hosts that exchange messages; a message arrives with the next step.
+/// A simulated network of hosts.
 struct Net {
     now: Millis,
     hosts: Vec<Host>,
     sent: Vec<(SocketAddr, SocketAddr, Message)>,
-    /// The messages that each host sent.
+    /// Number of messages sent by each host.
     counts: Vec<u64>,
 }
 
@@ -34,7 +35,7 @@
 }
 
 impl Net {
-    /// So many hosts in so many data centres, each with 10 requests and 1 repeat.
+    /// `hosts` hosts in `centres` data centres, each with 10 requests in the current window and 1 retry.
     fn new(hosts: usize, centres: usize) -> Self {
         let host = |i: usize| {
             let name = HostId::from(format!("host-{i}").as_str());
@@ -74,7 +75,7 @@
             self.now = self.now + STEP;
             self.deliver();
             for i in 0..self.hosts.len() {
-                // Hosts do not tell at the same moment.
+                // Digest periods of hosts are staggered.
                 if self.hosts[i].is_up && (self.now.0 + 30 * i as u64).is_multiple_of(PERIOD.0) {
                     let now = self.now;
                     let host = &mut self.hosts[i];
@@ -117,7 +118,7 @@
             .expect("the list was read")
     }
 
-    /// The host of a data centre that is the hub of others, or has none itself.
+    /// The hub of a data centre: the one with members if there are several.
     fn hub(&self, centre: usize) -> usize {
         let data_centre = DataCentre::from(format!("dc-{centre}").as_str());
         let is_hub = |h: &Host| h.data_centre == data_centre && h.is_up && h.gossip.is_hub();
@@ -126,7 +127,7 @@
         serving.or_else(|| hubs().next()).expect("a hub")
     }
 
-    /// Whether every host that is up and not cut off has the sums over `count` others.
+    /// Asserts that every host that is up and not cut off has the sums over `count` others.
     fn assert_sums(&self, count: u64) {
         for (i, host) in self.hosts.iter().enumerate() {
             if host.is_up && !host.is_cut {
@@ -159,7 +160,7 @@
     }
 }
 
-/// The messages of a host that is no hub do not grow with the number of hosts.
+/// The number of messages that a host other than a hub sends does not grow with the number of hosts.
 #[test]
 fn member_message_count_is_bounded() {
     let busiest = |hosts: usize| {
@@ -196,7 +197,7 @@
     let all: Vec<ListedPeer> = net.hosts.iter().map(Host::listed).collect();
     net.hosts[hub].gossip.set_hosts(all);
     net.run(Millis(6_000));
-    assert_eq!(net.hub(1), hub, "the first in order serves again");
+    assert_eq!(net.hub(1), hub, "the first in hub order is the hub again");
     net.assert_sums(23);
 }
 
@@ -210,10 +211,13 @@
     net.send(hub, messages);
     net.run(Millis(1_000));
     let next = net.hub(2);
-    assert_ne!(next, hub, "the next takes over while the other still runs");
+    assert_ne!(
+        next, hub,
+        "the next takes over while the stopping hub still runs"
+    );
     net.run(Millis(6_000));
     net.assert_sums(8);
-    assert_eq!(net.hub(2), next, "and keeps it");
+    assert_eq!(net.hub(2), next, "the next stays the hub");
     let now = net.now;
     let messages = net.hosts[hub].gossip.leave(now);
     net.send(hub, messages);
@@ -276,13 +280,13 @@
     net.run(Millis(3_000));
     assert!(
         net.hosts.iter().all(|h| h.lost.is_empty()),
-        "told for a while only"
+        "failed servers are sent for a limited time only"
     );
 }
 
 #[test]
 fn old_messages_are_dropped() {
-    let centre = |seq: u64, incarnation: u64, retries: u32| Message {
+    let digest = |seq: u64, incarnation: u64, retries: u32| Message {
         host: HostId::from("a"),
         incarnation: Incarnation(incarnation),
         seq,
@@ -300,17 +304,21 @@
     let retries = |g: &Gossip| g.shared_usage(Millis(2), 1).map(|s| s.retries);
     assert!(
         gossip
-            .receive(Millis(0), addr(1), &centre(5, 1, 3))
+            .receive(Millis(0), addr(1), &digest(5, 1, 3))
             .answer
             .is_some()
     );
     assert_eq!(
-        gossip.receive(Millis(1), addr(1), &centre(4, 1, 9)).answer,
+        gossip.receive(Millis(1), addr(1), &digest(4, 1, 9)).answer,
         None
     );
     assert_eq!(retries(&gossip), Some(3));
-    gossip.receive(Millis(2), addr(1), &centre(1, 2, 0));
-    assert_eq!(retries(&gossip), Some(0), "the host started anew");
+    gossip.receive(Millis(2), addr(1), &digest(1, 2, 0));
+    assert_eq!(
+        retries(&gossip),
+        Some(0),
+        "a new incarnation replaces the report"
+    );
 }
 
 #[test]
--- a/crates/membership/tests/properties.rs
+++ b/crates/membership/tests/properties.rs
@@ -1,4 +1,5 @@
-//! Random deaths, pauses, cuts and departures; what agents believe stays sound and becomes true.
+//! Random failures, pauses, cuts and departures: the views of agents hold their invariants at any time, and
+//! match the actual state after a period without events.
 
 #[expect(dead_code, reason = "each test uses a part of the simulation")]
 mod sim;
@@ -12,11 +13,11 @@
 const HOSTS: [&str; 5] = ["a1", "a2", "a3", "b1", "b2"];
 const SERVERS: [&str; 4] = ["e1", "e2", "f1", "f2"];
 
-/// How long everything is left alone before beliefs must be true, in milliseconds.
-const CALM: Millis = Millis(90_000);
+/// Time without events after which the views must match the actual state.
+const SETTLE_TIME: Millis = Millis(90_000);
 
-/// After this silence nobody may take a host of its data centre as alive, in milliseconds.
-const SILENCE: Millis = Millis(2_000);
+/// Time after which a stopped or paused host must not count as alive in its data centre.
+const DETECTION_TIME: Millis = Millis(2_000);
 
 #[derive(Clone, Debug)]
 enum Step {
@@ -53,12 +54,14 @@
     ]
 }
 
-/// A simulation, with what is true and what each agent has once believed.
+/// A simulation with its actual state and the leaving marks that agents have shown.
 struct World {
     sim: Sim,
-    lives: u64,
-    silent: Vec<Option<Millis>>,
-    left: Vec<(usize, String, Option<Incarnation>)>,
+    last_incarnation: u64,
+    /// Since when each host is stopped or paused.
+    down_since: Vec<Option<Millis>>,
+    /// Observer, member and incarnation for each leaving mark seen so far.
+    leaving: Vec<(usize, String, Option<Incarnation>)>,
 }
 
 impl World {
@@ -73,40 +76,40 @@
         for name in HOSTS {
             sim.start(name, 1);
         }
-        let silent = vec![None; HOSTS.len()];
-        let (lives, left) = (1, Vec::new());
+        let down_since = vec![None; HOSTS.len()];
+        let (last_incarnation, leaving) = (1, Vec::new());
         Self {
             sim,
-            lives,
-            silent,
-            left,
+            last_incarnation,
+            down_since,
+            leaving,
         }
     }
 
     fn apply(&mut self, step: &Step) {
         let sim = &mut self.sim;
-        self.lives += 1;
+        self.last_incarnation += 1;
         match *step {
             Step::Run(ms) => sim.run(Millis(ms)),
             Step::Restart(h) => {
-                sim.start(HOSTS[h], self.lives);
+                sim.start(HOSTS[h], self.last_incarnation);
                 sim.agent(HOSTS[h]).paused = false;
-                self.left.retain(|(observer, ..)| *observer != h);
-                self.silent[h] = None;
+                self.leaving.retain(|(observer, ..)| *observer != h);
+                self.down_since[h] = None;
             }
             Step::Kill(h) => {
                 sim.agent(HOSTS[h]).members = None;
                 let now = sim.now;
-                self.silent[h].get_or_insert(now);
+                self.down_since[h].get_or_insert(now);
             }
             Step::Pause(h) => {
                 sim.agent(HOSTS[h]).paused = true;
                 let now = sim.now;
-                self.silent[h].get_or_insert(now);
+                self.down_since[h].get_or_insert(now);
             }
             Step::Wake(h) => {
                 sim.agent(HOSTS[h]).paused = false;
-                self.silent[h] = None;
+                self.down_since[h] = None;
             }
             Step::Cut(a, b) => sim
                 .cuts
@@ -118,10 +121,10 @@
             }
             Step::ServerDown(s) => sim.server(SERVERS[s]).is_up = false,
             Step::ServerUp(s) => {
-                let lives = self.lives;
+                let incarnation = self.last_incarnation;
                 let server = sim.server(SERVERS[s]);
                 if !server.is_up {
-                    server.report.incarnation = Incarnation(lives);
+                    server.report.incarnation = Incarnation(incarnation);
                     server.report.leaving = false;
                 }
                 server.is_up = true;
@@ -134,7 +137,8 @@
         }
     }
 
-    /// What must hold at any time.
+    /// Checks the invariants that hold at any time: hosts that are down are detected in their data centre,
+    /// and an incarnation that is leaving stays so.
     fn check(&mut self) -> Result<(), TestCaseError> {
         for (i, observer) in HOSTS.iter().enumerate() {
             let now = self.sim.now;
@@ -145,11 +149,11 @@
             members.refresh(now);
             for (id, host) in members.hosts() {
                 let is_near = id.as_str()[..1] == observer[..1];
-                let silent = HOSTS.iter().position(|h| *h == id.as_str());
-                let silent = silent.and_then(|h| self.silent[h]);
-                let is_silent = silent.is_some_and(|at| now.since(at) > SILENCE);
-                let was_awake = self.silent[i].is_none();
-                if is_near && is_silent && was_awake {
+                let down = HOSTS.iter().position(|h| *h == id.as_str());
+                let down = down.and_then(|h| self.down_since[h]);
+                let is_down = down.is_some_and(|at| now.since(at) > DETECTION_TIME);
+                let was_awake = self.down_since[i].is_none();
+                if is_near && is_down && was_awake {
                     prop_assert_ne!(host.status, Status::Alive, "{} of {}", observer, id);
                 }
             }
@@ -159,26 +163,26 @@
                 .map(|(id, b)| (id.as_str(), &b.lifecycle));
             for (id, life) in hosts.chain(servers) {
                 let fact = (i, id.to_owned(), life.incarnation);
-                if self.left.contains(&fact) {
-                    prop_assert!(life.leaving, "{observer} forgot that {id} leaves");
+                if self.leaving.contains(&fact) {
+                    prop_assert!(life.leaving, "{observer} no longer has {id} as leaving");
                 } else if life.leaving {
-                    self.left.push(fact);
+                    self.leaving.push(fact);
                 }
             }
         }
         Ok(())
     }
 
-    /// After a calm, every agent knows who runs and under which life.
-    fn check_calm(&mut self) -> Result<(), TestCaseError> {
+    /// After [`SETTLE_TIME`], every agent knows which members run and with which incarnation.
+    fn check_settled(&mut self) -> Result<(), TestCaseError> {
         self.sim.cuts.clear();
         for name in HOSTS {
             self.sim.agent(name).paused = false;
         }
-        self.silent.fill(None);
-        self.sim.run(CALM);
+        self.down_since.fill(None);
+        self.sim.run(SETTLE_TIME);
         self.check()?;
-        let lives: Vec<(HostId, Incarnation)> = (self.sim.agents.iter())
+        let running: Vec<(HostId, Incarnation)> = (self.sim.agents.iter())
             .filter_map(|a| Some((a.name.clone(), a.members.as_ref()?.own().incarnation())))
             .collect();
         for agent in &self.sim.agents {
@@ -186,29 +190,29 @@
                 continue;
             };
             for (id, host) in members.hosts() {
-                let life = lives.iter().find(|(l, _)| l == id).map(|(_, i)| *i);
+                let actual = running.iter().find(|(l, _)| l == id).map(|(_, i)| *i);
                 let (name, standing) = (&agent.name, host.status);
                 prop_assert_eq!(
                     host.is_usable(),
-                    life.is_some(),
+                    actual.is_some(),
                     "{}: {} {}",
                     name,
                     id,
                     standing
                 );
-                let is_known = life.is_none() || life == host.lifecycle.incarnation;
-                prop_assert!(is_known, "{} takes {} for an earlier life", name, id);
+                let is_known = actual.is_none() || actual == host.lifecycle.incarnation;
+                prop_assert!(is_known, "{} has a past incarnation of {}", name, id);
             }
             for (id, backend) in members.backends() {
                 let server = self.sim.servers.iter().find(|s| s.listed.backend == *id);
                 let Some(server) = server else { continue };
                 let centre = server.listed.data_centre.as_str();
-                let is_watched = lives.iter().any(|(l, _)| l.as_str().starts_with(centre));
-                let is_seen = server.is_up && is_watched;
-                prop_assert_eq!(backend.is_alive(), is_seen, "{} on {}", &agent.name, id);
-                let life = Some(server.report.incarnation);
-                let is_known = backend.lifecycle.incarnation == life || !is_seen;
-                prop_assert!(is_known, "{} takes {} for an earlier life", agent.name, id);
+                let is_watched = running.iter().any(|(l, _)| l.as_str().starts_with(centre));
+                let is_alive = server.is_up && is_watched;
+                prop_assert_eq!(backend.is_alive(), is_alive, "{} on {}", &agent.name, id);
+                let actual = Some(server.report.incarnation);
+                let is_known = backend.lifecycle.incarnation == actual || !is_alive;
+                prop_assert!(is_known, "{} has a past incarnation of {}", agent.name, id);
             }
         }
         Ok(())
@@ -231,6 +235,6 @@
             world.apply(step);
             world.check()?;
         }
-        world.check_calm()?;
+        world.check_settled()?;
     }
 }
--- a/crates/membership/tests/roster_recovery.rs
+++ b/crates/membership/tests/roster_recovery.rs
@@ -1,37 +1,36 @@
-//! What a host believes of the backend servers after any history of rows, outages and losses, on virtual
-//! time.
+//! The roster of a host after random sequences of row changes and registry outages, on virtual time.
 
 use base::prelude::*;
 use membership::roster::{Change, Entry, RECOVERY_GRACE, Roster, State};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-/// What happens at the registry or to its connection.
+/// An event at the registry or on the connection to it.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     /// A server writes its row.
     Write(u8, State),
-    /// A row goes; if not `is_gone`, the server lives and writes it again.
+    /// The registry removes a row; unless `is_gone`, the server still runs and writes it again.
     Drop { server: u8, is_gone: bool },
-    /// The registry answers no more.
-    Lost,
-    /// It answers again, with the changes since.
-    Back,
-    /// It answers again, and has forgotten its history; it is read whole.
-    Forgot,
-    /// Time passes.
+    /// The registry stops answering.
+    Unavailable,
+    /// It answers again, with the changes since the outage began.
+    Recovered,
+    /// It answers again without its change history, so that a full read is needed.
+    Compacted,
+    /// Time passes, in milliseconds.
     Wait(u64),
 }
 
-/// The registry, its log, and what one host was told of it.
+/// The registry with its change log, and the roster of one host.
 #[derive(Default)]
 struct World {
     now: Millis,
     revision: u64,
     rows: Vec<(BackendId, Entry, u64)>,
-    /// Changes that the host was not told yet.
+    /// Changes that the host has not received yet.
     log: Vec<(BackendId, Option<Entry>, u64)>,
-    is_away: bool,
+    is_unavailable: bool,
     roster: Roster,
 }
 
@@ -65,9 +64,9 @@
         self.log.push((id(server), None, self.revision));
     }
 
-    /// Tells the host what it has missed, unless the registry is away.
-    fn tell(&mut self) {
-        if self.is_away {
+    /// Delivers the outstanding changes to the host unless the registry is unavailable.
+    fn deliver(&mut self) {
+        if self.is_unavailable {
             return;
         }
         for (id, entry, revision) in std::mem::take(&mut self.log) {
@@ -78,7 +77,7 @@
         }
     }
 
-    fn read_whole(&mut self) {
+    fn read_full(&mut self) {
         self.log.clear();
         for (id, entry, revision) in self.rows.clone() {
             self.roster.put(id, entry, revision);
@@ -94,28 +93,28 @@
             Event::Drop { server, is_gone } => {
                 self.drop_row(server);
                 if !is_gone {
-                    self.tell();
+                    self.deliver();
                     self.write(server, State::Serving);
                 }
             }
-            Event::Lost => {
-                self.is_away = true;
+            Event::Unavailable => {
+                self.is_unavailable = true;
                 self.roster.registry_unavailable();
             }
-            Event::Back | Event::Forgot if self.is_away => {
-                self.is_away = false;
+            Event::Recovered | Event::Compacted if self.is_unavailable => {
+                self.is_unavailable = false;
                 self.roster.registry_available(self.now);
-                if matches!(event, Event::Forgot) {
-                    self.read_whole();
+                if matches!(event, Event::Compacted) {
+                    self.read_full();
                 }
             }
-            Event::Back | Event::Forgot => {}
+            Event::Recovered | Event::Compacted => {}
             Event::Wait(time) => {
                 self.now = self.now + Millis(time);
                 self.roster.expire(self.now);
             }
         }
-        self.tell();
+        self.deliver();
     }
 
     fn usable(&self) -> Vec<BackendId> {
@@ -139,9 +138,9 @@
     prop_oneof![
         4 => (0..6_u8, state).prop_map(|(s, state)| Event::Write(s, state)),
         2 => (0..6_u8, any::<bool>()).prop_map(|(server, is_gone)| Event::Drop { server, is_gone }),
-        1 => Just(Event::Lost),
-        1 => Just(Event::Back),
-        1 => Just(Event::Forgot),
+        1 => Just(Event::Unavailable),
+        1 => Just(Event::Recovered),
+        1 => Just(Event::Compacted),
         2 => (1..3_000_u64).prop_map(Event::Wait),
     ]
 }
@@ -158,7 +157,7 @@
     runner.run(&events, check).unwrap();
 }
 
-/// After an outage every host ends with what the registry lists, once the grace is over.
+/// After an outage the usable servers match the registry once the grace time has ended.
 #[test]
 fn converges_to_registry() {
     run(|events| {
@@ -166,21 +165,21 @@
         for event in events {
             world.step(event);
         }
-        world.step(Event::Back);
+        world.step(Event::Recovered);
         world.step(Event::Wait(RECOVERY_GRACE.0));
         prop_assert_eq!(world.usable(), world.serving());
         Ok(())
     });
 }
 
-/// A server that reports that it leaves is not used from the moment at which the host is told.
+/// A server is unusable as soon as the host receives its leaving state.
 #[test]
 fn leaving_server_is_unusable_at_once() {
     run(|events| {
         let mut world = World::default();
         for event in events {
             world.step(event);
-            if !world.is_away {
+            if !world.is_unavailable {
                 let usable = world.usable();
                 let is_leaving = |(id, e, _): &&(BackendId, Entry, u64)| {
                     e.state == State::Leaving && usable.contains(id)
@@ -192,7 +191,7 @@
     });
 }
 
-/// While the registry is away nothing that was usable is given up, and nothing new is believed.
+/// During a registry outage usable servers stay usable and no others become usable.
 #[test]
 fn outage_keeps_usable_servers() {
     run(|events| {
@@ -201,13 +200,13 @@
         for event in events {
             let is_wait = matches!(event, Event::Wait(_));
             world.step(event);
-            if !world.is_away {
+            if !world.is_unavailable {
                 held = None;
                 continue;
             }
             let usable = world.usable();
             let before = held.replace(usable.clone()).unwrap_or(usable.clone());
-            // A removal that was doubted before the outage takes effect when its grace ends.
+            // A removal received before the outage may take effect during it, when its grace time ends.
             prop_assert!(usable.iter().all(|id| before.contains(id)));
             prop_assert!(is_wait || usable == before);
         }
@@ -215,7 +214,7 @@
     });
 }
 
-/// A host that was never cut off believes a removal at once.
+/// Without an earlier outage a removal takes effect at once.
 #[test]
 fn removal_without_outage() {
     let mut world = World::default();
--- a/crates/membership/tests/scenarios.rs
+++ b/crates/membership/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Scripted scenarios of hosts and backend servers that die, pause, leave and come back.
+//! Scripted scenarios of hosts and backend servers that stop, pause, leave and return.
 
 mod sim;
 
@@ -24,7 +24,9 @@
     match words.as_slice() {
         ["hosts", centre, names @ ..] => names.iter().for_each(|n| sim.add_host(n, centre)),
         ["servers", centre, names @ ..] => names.iter().for_each(|n| sim.add_server(n, centre)),
-        ["start", life, names @ ..] => names.iter().for_each(|n| sim.start(n, number(life))),
+        ["start", incarnation, names @ ..] => {
+            names.iter().for_each(|n| sim.start(n, number(incarnation)))
+        }
         ["run", ms] => sim.run(Millis(number(ms))),
         ["tick", name] => sim.tick_one(name),
         ["kill", name] => sim.agent(name).members = None,
@@ -38,10 +40,10 @@
         }
         ["list", name, word, readers @ ..] => list(sim, name, *word == "leaving", readers),
         ["server", name, "down"] => sim.server(name).is_up = false,
-        ["server", name, "up", life] => {
+        ["server", name, "up", incarnation] => {
             let server = sim.server(name);
             server.is_up = true;
-            server.report.incarnation = Incarnation(number(life));
+            server.report.incarnation = Incarnation(number(incarnation));
             server.report.leaving = false;
         }
         ["server", name, "leaving"] => sim.server(name).report.leaving = true,
@@ -53,7 +55,7 @@
     String::new()
 }
 
-/// Changes the host list and shows it to some agents.
+/// Changes the leaving mark of a member in the host list and lets some agents read the list.
 fn list(sim: &mut Sim, name: &str, leaving: bool, readers: &[&str]) {
     let hosts = sim.list.iter_mut().filter(|h| h.host.as_str() == name);
     hosts.for_each(|h| h.leaving = leaving);
--- a/crates/membership/tests/server_rows.rs
+++ b/crates/membership/tests/server_rows.rs
@@ -1,4 +1,4 @@
-//! Rows of the registry: what they mean for new requests, in order and out of it.
+//! Effects of registry rows on new requests, with rows in and out of order, removals and outages.
 
 use base::prelude::*;
 use membership::Roster;
@@ -62,11 +62,15 @@
     roster.put(kept, entry(1, State::Serving, 1), 5);
     let end = 1_000 + RECOVERY_GRACE.0;
     assert!(usable(&roster, "i-1", end), "its row came back");
-    assert!(!usable(&roster, "i-2", end), "its row stayed away");
+    assert!(!usable(&roster, "i-2", end), "its row is still missing");
     roster.expire(Millis(end));
     assert_eq!(roster.len(), 1);
     let later = roster.remove(&BackendId::from("i-1"), 6, Millis(end + 1));
-    assert_eq!(later, Change::Removed, "no doubt once the grace is over");
+    assert_eq!(
+        later,
+        Change::Removed,
+        "removed at once after the grace time"
+    );
 }
 
 #[test]
@@ -86,7 +90,7 @@
     roster.put(BackendId::from("old"), entry(1, State::Serving, 10), 1);
     roster.put(BackendId::from("new"), entry(1, State::Serving, 20), 2);
     assert!(!usable(&roster, "old", 0) && usable(&roster, "new", 0));
-    // The same, with the rows in the other order.
+    // The same with the rows in reverse order.
     let mut roster = Roster::default();
     roster.put(BackendId::from("new"), entry(1, State::Serving, 20), 2);
     roster.put(BackendId::from("old"), entry(1, State::Serving, 10), 1);
@@ -110,7 +114,7 @@
     assert_eq!(
         roster.adopt(&old, &new, 20),
         Change::None,
-        "the registry will tell"
+        "the registry is available and will list it"
     );
     assert!(!usable(&roster, "old", 0));
 
--- a/crates/membership/tests/sim/mod.rs
+++ b/crates/membership/tests/sim/mod.rs
@@ -1,4 +1,4 @@
-//! Agents of several data centres that exchange beats over a network of which parts can be cut.
+//! Simulation of agents in several data centres; links between two hosts can be cut.
 
 use std::net::SocketAddr;
 
@@ -9,10 +9,10 @@
 use membership::own::OwnHost;
 use membership::{Heartbeat, Members, Policy};
 
-/// The step of the clock, in milliseconds.
+/// The step of the clock.
 const STEP: Millis = Millis(50);
 
-/// An entry host with its agent.
+/// An entry host with its agent; `members` is `None` while the agent does not run.
 pub(crate) struct Agent {
     pub(crate) name: HostId,
     pub(crate) members: Option<Members>,
@@ -20,14 +20,14 @@
     place: Place,
 }
 
-/// A backend server.
+/// A backend server and the report with which it answers polls.
 pub(crate) struct Server {
     pub(crate) listed: ListedBackend,
     pub(crate) report: Report,
     pub(crate) is_up: bool,
 }
 
-/// All agents and backend servers.
+/// The simulated agents, backend servers and host list.
 #[derive(Default)]
 pub(crate) struct Sim {
     pub(crate) now: Millis,
@@ -36,9 +36,9 @@
     pub(crate) list: Vec<ListedHost>,
     pub(crate) cuts: Vec<(HostId, HostId)>,
     pub(crate) polls: u64,
-    /// How the size of a beat is taken, if it is.
+    /// Measures heartbeats; `None` to record no sizes.
     pub(crate) measure: Option<fn(&Heartbeat) -> u64>,
-    pub(crate) beats: Vec<u64>,
+    pub(crate) sizes: Vec<u64>,
 }
 
 fn addr(port: usize) -> SocketAddr {
@@ -87,15 +87,15 @@
         });
     }
 
-    /// Starts or restarts an agent under an incarnation.
-    pub(crate) fn start(&mut self, name: &str, life: u64) {
+    /// Starts or restarts an agent with an incarnation.
+    pub(crate) fn start(&mut self, name: &str, incarnation: u64) {
         let now = self.now;
         let agent = self.agent(name);
         let own = OwnHost::new(
             now,
             agent.name.clone(),
             agent.place.clone(),
-            Incarnation(life),
+            Incarnation(incarnation),
         );
         agent.members = Some(Members::new(own, Policy::default()));
         self.read_list(name);
@@ -112,7 +112,7 @@
         found.unwrap_or_else(|| panic!("no backend server {name}"))
     }
 
-    /// Shows the host list to one agent.
+    /// Lets one agent read the host list.
     pub(crate) fn read_list(&mut self, name: &str) {
         let (now, mut list) = (self.now, self.list.clone());
         list.sort_by(|a, b| a.host.cmp(&b.host));
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Lets time pass.
+    /// Advances the clock by `span` and runs all agents.
     pub(crate) fn run(&mut self, span: Millis) {
         let end = self.now + span;
         while self.now < end {
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Lets one agent act.
+    /// Runs one agent at the current time.
     pub(crate) fn tick_one(&mut self, name: &str) {
         let i = self.agents.iter().position(|a| a.name.as_str() == name);
         i.into_iter().for_each(|i| self.tick(i));
@@ -162,17 +162,17 @@
         if self.cuts.iter().any(is_cut) {
             return;
         }
-        let question = running(&mut self.agents[i]).map(|m| m.heartbeat(now, to));
+        let request = running(&mut self.agents[i]).map(|m| m.heartbeat(now, to));
         let peer = self.agents.iter_mut().find(|a| a.name == *to);
-        let Some((peer, question)) = peer.and_then(running).zip(question) else {
+        let Some((peer, request)) = peer.and_then(running).zip(request) else {
             return;
         };
-        let sizes = self.measure.map(|size| size(&question));
-        self.beats.extend(sizes);
-        peer.receive(now, question);
+        let sizes = self.measure.map(|size| size(&request));
+        self.sizes.extend(sizes);
+        peer.receive(now, request);
         let answer = peer.heartbeat(now, &from);
         let sizes = self.measure.map(|size| size(&answer));
-        self.beats.extend(sizes);
+        self.sizes.extend(sizes);
         if let Some(members) = running(&mut self.agents[i]) {
             members.receive(now, answer);
         }
@@ -188,7 +188,7 @@
         }
     }
 
-    /// What an agent believes, one line a member.
+    /// The view of an agent, one line per member.
     pub(crate) fn show(&mut self, name: &str) -> String {
         let Some(members) = &self.agent(name).members else {
             return "not running\n".to_owned();
@@ -221,7 +221,7 @@
     }
 }
 
-/// The members of an agent that runs.
+/// The members of an agent; `None` if it is stopped or paused.
 pub(crate) fn running(agent: &mut Agent) -> Option<&mut Members> {
     let paused = agent.paused;
     agent.members.as_mut().filter(|_| !paused)
--- a/crates/peer/tests/beat_size.rs
+++ b/crates/peer/tests/beat_size.rs
@@ -57,8 +57,8 @@
         }
         sim.run(Millis(1_000));
     }
-    let beats = sim.beats.len() as u64;
-    let bytes: u64 = sim.beats.iter().sum();
+    let beats = sim.sizes.len() as u64;
+    let bytes: u64 = sim.sizes.iter().sum();
     // Each beat is sent by one node and received by another.
     let beat_rate = 2 * (bytes + beats * CALL_BYTES) / SPAN_S / AGENTS;
     let poll_rate = sim.polls * POLL_BYTES / SPAN_S / AGENTS;
