--- a/crates/membership/tests/host_digests.rs
+++ b/crates/membership/tests/host_digests.rs
@@ -27,7 +27,7 @@
     usage: Usage,
     is_up: bool,
     is_cut: bool,
-    lost: Vec<u32>,
+    failed: Vec<u32>,
 }
 
 fn addr(i: usize) -> SocketAddr {
@@ -53,7 +53,7 @@
                 },
                 is_up: true,
                 is_cut: false,
-                lost: Vec::new(),
+                failed: Vec::new(),
             }
         };
         let mut net = Self {
@@ -105,8 +105,8 @@
                 continue;
             }
             let received = self.hosts[i].gossip.receive(self.now, from, &message);
-            let lost = received.failed.iter().map(|l| l.server);
-            self.hosts[i].lost.extend(lost);
+            let failed = received.failed.iter().map(|f| f.server);
+            self.hosts[i].failed.extend(failed);
             self.send(i, received.answer.into_iter().collect());
         }
     }
@@ -270,16 +270,16 @@
     net.hosts[4].gossip.server_failed(now, 77);
     net.run(Millis(1_500));
     for (i, host) in net.hosts.iter().enumerate() {
-        assert!(i == 4 || host.lost.contains(&77), "{:?}", host.name);
+        assert!(i == 4 || host.failed.contains(&77), "{:?}", host.name);
     }
     for host in &mut net.hosts {
-        host.lost.clear();
+        host.failed.clear();
     }
     net.run(Millis(3_000));
-    net.hosts.iter_mut().for_each(|h| h.lost.clear());
+    net.hosts.iter_mut().for_each(|h| h.failed.clear());
     net.run(Millis(3_000));
     assert!(
-        net.hosts.iter().all(|h| h.lost.is_empty()),
+        net.hosts.iter().all(|h| h.failed.is_empty()),
         "failed servers are sent for a limited time only"
     );
 }
--- a/crates/membership/tests/properties.rs
+++ b/crates/membership/tests/properties.rs
@@ -161,11 +161,14 @@
             let servers = members
                 .backends()
                 .map(|(id, b)| (id.as_str(), &b.lifecycle));
-            for (id, life) in hosts.chain(servers) {
-                let fact = (i, id.to_owned(), life.incarnation);
+            for (id, lifecycle) in hosts.chain(servers) {
+                let fact = (i, id.to_owned(), lifecycle.incarnation);
                 if self.leaving.contains(&fact) {
-                    prop_assert!(life.leaving, "{observer} no longer has {id} as leaving");
-                } else if life.leaving {
+                    prop_assert!(
+                        lifecycle.leaving,
+                        "{observer} no longer has {id} as leaving"
+                    );
+                } else if lifecycle.leaving {
                     self.leaving.push(fact);
                 }
             }
--- a/crates/membership/tests/sim/mod.rs
+++ b/crates/membership/tests/sim/mod.rs
@@ -195,16 +195,16 @@
         };
         let mut text = String::new();
         for (id, host) in members.hosts() {
-            let life = host.lifecycle.incarnation.map_or(0, |i| i.0);
+            let incarnation = host.lifecycle.incarnation.map_or(0, |i| i.0);
             let leaving = if host.lifecycle.is_leaving() {
                 " leaving"
             } else {
                 ""
             };
-            text += &format!("{id} {} life={life}{leaving}\n", host.status);
+            text += &format!("{id} {} life={incarnation}{leaving}\n", host.status);
         }
         for (id, backend) in members.backends() {
-            let life = backend.lifecycle.incarnation.map_or(0, |i| i.0);
+            let incarnation = backend.lifecycle.incarnation.map_or(0, |i| i.0);
             let alive = if backend.is_alive() { "alive" } else { "dead" };
             let leaving = if backend.lifecycle.is_leaving() {
                 " leaving"
@@ -212,7 +212,7 @@
                 ""
             };
             let load = backend.claim().map_or(0, |c| c.report.running);
-            text += &format!("{id} {alive} life={life} load={load}{leaving}\n");
+            text += &format!("{id} {alive} life={incarnation} load={load}{leaving}\n");
         }
         if members.own().lifecycle.leaving {
             text += "this host leaves\n";
