--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -1,15 +1,14 @@
-//! What entry hosts tell each other in passing: their use of the shared retry budgets, and the backend
-//! servers that they found to be gone.
+//! Exchange of retry budget usage and of failed servers between hosts, through one hub per data centre.
 //!
-//! In each data centre one host, the hub, takes the digests of the others there and answers each with the
-//! sums over all hosts. Hubs tell each other the sums of their data centres. So the messages of a host do
-//! not grow with the number of hosts; those of a hub grow with the hosts of its data centre and the number
-//! of data centres.
+//! Each host sends its usage (a digest) to the hub of its data centre, which answers with the sums over all
+//! other hosts. Hubs send each other the sums of their data centres. The number of messages that a host
+//! sends therefore does not grow with the number of hosts; that of a hub grows with the hosts of its data
+//! centre and with the number of data centres.
 //!
-//! Nobody elects a hub: each host takes the first listed host of its data centre, in an order that all
-//! share, that is not silent. Hosts that differ use two hubs for a while, which tell each other their sums.
-//! Each message stands for itself; lost, late and repeated ones do no harm. A host that hears of no hub
-//! goes on with its own share.
+//! Hubs are not elected: each host uses the first listed host of its data centre, in an order common to all
+//! hosts, that is not marked unresponsive. While hosts disagree, a data centre has two hubs for a while,
+//! which send each other their sums. Each message is self-contained, so that lost, late and duplicate
+//! messages do no harm. A host that reaches no hub works with its own share of the budget.
 
 mod message;
 
@@ -19,74 +18,74 @@
 use base::prelude::*;
 use base::sorted::Sorted;
 
-pub use message::{Body, Lost, Message, Usage, WINDOWS};
+pub use message::{Body, FailedServer, Message, Usage, WINDOWS};
 
-/// What was not told anew for this time is forgotten.
-const FRESH: Millis = Millis(2_000);
+/// Reports and answers that were not renewed within this time expire.
+const REPORT_TTL: Millis = Millis(2_000);
 
-/// The hub is taken as silent after this time without an answer; more than the period of digests.
-const SILENT: Millis = Millis(700);
+/// A hub that leaves digests unanswered for this time is unresponsive; longer than the digest period.
+const HUB_TIMEOUT: Millis = Millis(700);
 
-/// How often a hub that fell silent is asked whether it is back.
-const RETRY: Millis = Millis(2_500);
+/// The interval at which an unresponsive host is probed with a digest.
+const PROBE_INTERVAL: Millis = Millis(2_500);
 
-/// The hosts of each other data centre, in the order of hubs, that are told the sums of this one.
-const HUBS: usize = 2;
+/// How many hosts of each data centre, in hub order, receive the sums of this data centre.
+const HUBS_PER_CENTRE: usize = 2;
 
-/// The lost servers that one message names at most, so that it fits a datagram.
-const MAX_LOST: usize = 48;
+/// The maximum number of failed servers in one message, so that it fits a datagram.
+const MAX_FAILED: usize = 48;
 
-/// How long a lost server is told of.
-const TELL_LOST: Millis = Millis(1_500);
+/// How long a failed server is included in messages.
+const FAILED_TTL: Millis = Millis(1_500);
 
-/// A host as the store lists it.
+/// A row of the store's host list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listed {
-    /// Its name.
+pub struct ListedPeer {
+    /// The unique name, which also decides the order of hubs.
     pub host: HostId,
-    /// Where it stands.
+    /// The data centre whose hub it uses.
     pub data_centre: DataCentre,
-    /// Where it takes messages.
+    /// Address on which it receives messages.
     pub addr: SocketAddr,
 }
 
-/// The sums of one service over the hosts that are heard of.
+/// The usage of one service, summed over the hosts whose usage has been received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Shared {
-    /// The hosts that are heard of, this one included.
-    pub heard: u64,
-    /// The hosts that are known, this one included.
+pub struct SharedUsage {
+    /// Number of hosts whose usage has been received, this one included.
+    pub reporting: u64,
+    /// Number of listed hosts, or of reporting ones if these are more; this one included.
     pub known: u64,
-    /// The requests of the others, in each of the windows.
+    /// Requests of the other hosts in each of the [`WINDOWS`].
     pub requests: [u64; WINDOWS],
-    /// The repeats of the others.
-    pub repeats: u64,
-    /// The hosts that have told of requests that wait for a repeat, this one included.
+    /// Retries of the other hosts.
+    pub retries: u64,
+    /// Number of hosts that reported requests waiting for a retry, this one included.
     pub waiting: u64,
-    /// How many of these come before this host; `None` if this one has told of none.
+    /// How many of the waiting hosts come before this one; `None` if this one has reported none waiting.
     pub rank: Option<u64>,
 }
 
-/// What follows from a message.
+/// The result of [`Gossip::receive`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Heard {
-    /// The lost servers that it names.
-    pub lost: Vec<Lost>,
-    /// A message that follows, and where it goes.
+pub struct Received {
+    /// The failed servers in the message.
+    pub failed: Vec<FailedServer>,
+    /// A message to send in response, with its destination.
     pub answer: Option<(SocketAddr, Message)>,
-    /// Whether it answers this host's last digest, so that the sums over the others are new.
-    pub is_answered: bool,
-    /// Whether the other hubs are to be told soon.
-    pub is_news: bool,
+    /// Whether the message answers this host's last digest, so that the sums over the others are current.
+    pub answers_digest: bool,
+    /// Whether to run the next exchange now, so that the change reaches the other hubs soon.
+    pub notify_hubs: bool,
 }
 
-/// What a host was told by another, and when.
+/// The last report of another host: the digest of a member or the sums of a hub.
 #[derive(Clone, Debug)]
-struct Told {
+struct PeerReport {
     addr: SocketAddr,
     incarnation: Incarnation,
     seq: u64,
-    at: Millis,
+    received_at: Millis,
     hosts: u32,
     usage: Vec<Usage>,
 }
@@ -98,50 +97,51 @@
     usage: Sorted<u32, Usage>,
 }
 
-/// A hub's last answer.
+/// The hub's answer to the last digest that it answered.
 #[derive(Clone, Debug)]
-struct Answer {
-    at: Millis,
+struct HubAnswer {
+    received_at: Millis,
     hosts: u32,
     usage: Vec<Usage>,
     ranks: Vec<u32>,
 }
 
-/// The other hosts and what they last told.
+/// The state of the exchange: the other hosts and their last reports.
 #[derive(Clone, Debug, Default)]
 pub struct Gossip {
     host: HostId,
     data_centre: DataCentre,
     incarnation: Incarnation,
     seq: u64,
-    /// The other hosts that the store lists, in the order of hubs.
-    listed: Vec<Listed>,
-    /// The hosts that this one serves as their hub.
-    members: Sorted<HostId, Told>,
-    /// The other hubs.
-    hubs: Sorted<HostId, Told>,
-    /// The hosts that did not answer, and when they are asked next.
-    silent: Sorted<HostId, Millis>,
-    /// Whether the other hubs were told last that this host serves some.
-    has_served: bool,
-    /// Since when the hub owes an answer.
-    owes: Option<Millis>,
-    /// The number of the last digest.
+    /// The other hosts in the store's list, in hub order.
+    listed: Vec<ListedPeer>,
+    /// The hosts that use this one as their hub.
+    members: Sorted<HostId, PeerReport>,
+    /// The other hubs, which may include one of this data centre.
+    hubs: Sorted<HostId, PeerReport>,
+    /// The unresponsive hosts, each with the time of the next probe.
+    unresponsive: Sorted<HostId, Millis>,
+    /// Whether this host acted as a hub in the last round, so that other hubs hold its sums.
+    has_announced: bool,
+    /// When the oldest digest was sent that the hub has not answered; `None` if none is pending.
+    pending_since: Option<Millis>,
+    /// The sequence number of the last digest.
     digest: u64,
-    answer: Option<Answer>,
-    lost: Vec<(u32, Millis)>,
-    /// Whether the hosts that this one serves are to be told of a lost server.
-    has_lost: bool,
-    /// What this host told last of its own use.
-    told: Vec<Usage>,
-    /// Whether the list of hosts was read.
+    answer: Option<HubAnswer>,
+    /// Hashes of the ids of recently failed servers, with the time of the failure.
+    failed: Vec<(u32, Millis)>,
+    /// Whether a failed server has yet to be sent to the members.
+    failures_pending: bool,
+    /// This host's own usage, as of its last digest.
+    own_usage: Vec<Usage>,
+    /// Whether the host list has been read.
     is_listed: bool,
-    /// Whether this host stops and serves no other any more.
+    /// Whether this host is stopping and accepts no more digests.
     is_leaving: bool,
 }
 
 impl Gossip {
-    /// A host that has heard of nobody yet.
+    /// A host that has received no list and no message yet.
     pub fn new(host: HostId, data_centre: DataCentre, incarnation: Incarnation) -> Self {
         Self {
             host,
@@ -151,94 +151,102 @@
         }
     }
 
-    /// Takes in the whole list of hosts.
-    pub fn listed(&mut self, mut hosts: Vec<Listed>) {
+    /// Replaces the list of hosts.
+    pub fn set_hosts(&mut self, mut hosts: Vec<ListedPeer>) {
         hosts.retain(|l| l.host != self.host);
-        hosts.sort_by(|a, b| order(&a.data_centre, &a.host).cmp(&order(&b.data_centre, &b.host)));
+        hosts.sort_by(|a, b| {
+            hub_order(&a.data_centre, &a.host).cmp(&hub_order(&b.data_centre, &b.host))
+        });
         self.listed = hosts;
         self.is_listed = true;
     }
 
-    /// Whether this host serves its data centre: no other one there comes before it that answers.
+    /// Whether this host is the hub of its data centre: no responsive host there precedes it in hub order.
     pub fn is_hub(&self) -> bool {
         self.hub().is_none()
     }
 
-    /// The hub that serves this host, if it is another one.
-    pub fn hub(&self) -> Option<&Listed> {
-        let own = order(&self.data_centre, &self.host);
-        let mut here = self.here();
-        here.find(|l| order(&l.data_centre, &l.host) < own && self.silent.get(&l.host).is_none())
+    /// The hub of this host; `None` if it is its own.
+    pub fn hub(&self) -> Option<&ListedPeer> {
+        let own = hub_order(&self.data_centre, &self.host);
+        let mut local = self.local_hosts();
+        local.find(|l| {
+            hub_order(&l.data_centre, &l.host) < own && self.unresponsive.get(&l.host).is_none()
+        })
     }
 
-    /// Whether the sums come from another hub, which has answered lately.
-    pub fn is_served(&self, now: Millis) -> bool {
-        !self.is_hub() && self.fresh(now).is_some()
+    /// Whether the sums come from another host, the hub, whose last answer has not expired.
+    pub fn has_hub_answer(&self, now: Millis) -> bool {
+        !self.is_hub() && self.fresh_answer(now).is_some()
     }
 
-    fn fresh(&self, now: Millis) -> Option<&Answer> {
-        self.answer.as_ref().filter(|a| now.since(a.at) < FRESH)
+    fn fresh_answer(&self, now: Millis) -> Option<&HubAnswer> {
+        self.answer
+            .as_ref()
+            .filter(|a| now.since(a.received_at) < REPORT_TTL)
     }
 
-    /// Whether other hosts take this one as their hub.
-    pub fn serves(&self) -> bool {
+    /// Whether other hosts use this one as their hub.
+    pub fn has_members(&self) -> bool {
         !self.members.is_empty()
     }
 
-    fn here(&self) -> impl Iterator<Item = &Listed> {
-        let is_here = |l: &&Listed| l.data_centre == self.data_centre;
-        self.listed.iter().filter(is_here)
+    fn local_hosts(&self) -> impl Iterator<Item = &ListedPeer> {
+        let is_local = |l: &&ListedPeer| l.data_centre == self.data_centre;
+        self.listed.iter().filter(is_local)
     }
 
-    /// Notes the own use, and tells it to the hub; a hub has the sums itself and tells nobody.
+    /// Records this host's usage and returns the digest for the hub and for unresponsive hosts to probe.
+    ///
+    /// A hub computes the sums itself and sends no digest but those probes.
     pub fn digest(&mut self, now: Millis, usage: Vec<Usage>) -> Vec<(SocketAddr, Message)> {
-        self.told = usage;
+        self.own_usage = usage;
         self.expire(now);
-        if let (Some(since), Some(hub)) = (self.owes, self.hub())
-            && now.since(since) >= SILENT
+        if let (Some(since), Some(hub)) = (self.pending_since, self.hub())
+            && now.since(since) >= HUB_TIMEOUT
         {
             let host = hub.host.clone();
-            self.silent.insert(host, now + RETRY);
-            self.owes = None;
+            self.unresponsive.insert(host, now + PROBE_INTERVAL);
+            self.pending_since = None;
         }
         let mut addrs: Vec<SocketAddr> = self.hub().map(|h| h.addr).into_iter().collect();
         if !addrs.is_empty() {
-            self.owes.get_or_insert(now);
+            self.pending_since.get_or_insert(now);
         }
-        addrs.extend(self.overdue(now));
+        addrs.extend(self.probes_due(now));
         if addrs.is_empty() {
             return Vec::new();
         }
-        let message = self.message(now, Body::Digest(self.told.clone()));
+        let message = self.message(now, Body::Digest(self.own_usage.clone()));
         self.digest = message.seq;
         to_each(addrs, &message)
     }
 
-    /// Silent hosts of this data centre that are to be asked again.
-    fn overdue(&mut self, now: Millis) -> Vec<SocketAddr> {
+    /// Unresponsive hosts of this data centre whose next probe is due.
+    fn probes_due(&mut self, now: Millis) -> Vec<SocketAddr> {
         let mut addrs = Vec::new();
         for listed in self
             .listed
             .iter()
             .filter(|l| l.data_centre == self.data_centre)
         {
-            if let Some(next) = self.silent.get_mut(&listed.host)
+            if let Some(next) = self.unresponsive.get_mut(&listed.host)
                 && now >= *next
             {
-                *next = now + RETRY;
+                *next = now + PROBE_INTERVAL;
                 addrs.push(listed.addr);
             }
         }
         addrs
     }
 
-    /// What a hub tells the other hubs, and where it goes.
-    pub fn centre(&mut self, now: Millis) -> Vec<(SocketAddr, Message)> {
+    /// The sums of this hub for the other hubs, with their destinations.
+    pub fn centre_sums(&mut self, now: Millis) -> Vec<(SocketAddr, Message)> {
         self.expire(now);
-        let serves = self.is_hub() || !self.members.is_empty();
-        let has_served = std::mem::replace(&mut self.has_served, serves);
-        // The others are told once that this host serves nobody any more.
-        if !serves && !has_served {
+        let announces = self.is_hub() || !self.members.is_empty();
+        let has_announced = std::mem::replace(&mut self.has_announced, announces);
+        // A host that ceases to be a hub sends empty sums once, to replace its last ones.
+        if !announces && !has_announced {
             return Vec::new();
         }
         let mut addrs: Vec<SocketAddr> = Vec::new();
@@ -247,15 +255,15 @@
             if count.0 != Some(&listed.data_centre) {
                 count = (Some(&listed.data_centre), 0);
             }
-            if count.1 < HUBS {
+            if count.1 < HUBS_PER_CENTRE {
                 addrs.push(listed.addr);
             }
             count.1 += 1;
         }
-        addrs.extend(self.hubs.iter().map(|(_, t)| t.addr));
+        addrs.extend(self.hubs.iter().map(|(_, r)| r.addr));
         addrs.sort();
         addrs.dedup();
-        let sums = self.served(None);
+        let sums = self.member_sums(None);
         let body = Body::Centre {
             hosts: sums.hosts,
             usage: sums.usage.iter().map(|(_, u)| *u).collect(),
@@ -264,12 +272,12 @@
         to_each(addrs, &message)
     }
 
-    /// What a hub tells the hosts that it serves of lost servers, and where it goes.
-    pub fn lost_servers(&mut self, now: Millis) -> Vec<(SocketAddr, Message)> {
-        if !std::mem::take(&mut self.has_lost) {
+    /// A message with the failed servers for each member of this hub; empty if there is no new one.
+    pub fn failed_servers(&mut self, now: Millis) -> Vec<(SocketAddr, Message)> {
+        if !std::mem::take(&mut self.failures_pending) {
             return Vec::new();
         }
-        let addrs: Vec<SocketAddr> = self.members.iter().map(|(_, t)| t.addr).collect();
+        let addrs: Vec<SocketAddr> = self.members.iter().map(|(_, r)| r.addr).collect();
         let body = Body::Others {
             digest: 0,
             hosts: 0,
@@ -280,11 +288,11 @@
         to_each(addrs, &message)
     }
 
-    /// What a stopping host tells those that count on it; from now on it serves no other host.
+    /// The messages by which a stopping host signs off; from now on it accepts no digests.
     pub fn leave(&mut self, now: Millis) -> Vec<(SocketAddr, Message)> {
-        self.has_lost = true;
-        let mut messages = self.centre(now);
-        messages.extend(self.lost_servers(now));
+        self.failures_pending = true;
+        let mut messages = self.centre_sums(now);
+        messages.extend(self.failed_servers(now));
         messages.extend(self.digest(now, Vec::new()));
         for (_, message) in &mut messages {
             message.leaves = true;
@@ -296,9 +304,9 @@
 
     fn message(&mut self, now: Millis, body: Body) -> Message {
         self.seq += 1;
-        self.lost.retain(|(_, at)| now.since(*at) < TELL_LOST);
-        let newest = self.lost.iter().rev().take(MAX_LOST);
-        let lost = newest.map(|(server, at)| Lost {
+        self.failed.retain(|(_, at)| now.since(*at) < FAILED_TTL);
+        let newest = self.failed.iter().rev().take(MAX_FAILED);
+        let failed = newest.map(|(server, at)| FailedServer {
             server: *server,
             age: u32::try_from(now.since(*at).0).unwrap_or(u32::MAX),
         });
@@ -307,44 +315,44 @@
             incarnation: self.incarnation,
             seq: self.seq,
             leaves: false,
-            lost: lost.collect(),
+            failed: failed.collect(),
             body,
         }
     }
 
-    /// Takes in a message that came from `from`.
-    pub fn heard(&mut self, now: Millis, from: SocketAddr, message: &Message) -> Heard {
+    /// Applies a message received from `from`.
+    pub fn receive(&mut self, now: Millis, from: SocketAddr, message: &Message) -> Received {
         if message.host == self.host {
-            return Heard::default();
+            return Received::default();
         }
         if message.leaves {
-            return self.left(now, message);
+            return self.peer_left(now, message);
         }
-        let told = |hosts: u32, usage: &[Usage]| Told {
+        let report = |hosts: u32, usage: &[Usage]| PeerReport {
             addr: from,
             incarnation: message.incarnation,
             seq: message.seq,
-            at: now,
+            received_at: now,
             hosts,
             usage: usage.to_vec(),
         };
-        let mut heard = Heard::default();
+        let mut received = Received::default();
         match &message.body {
-            Body::Digest(_) if self.is_leaving => return heard,
+            Body::Digest(_) if self.is_leaving => return received,
             Body::Digest(usage) => {
-                let before = self.members.get(&message.host).map(|t| t.usage.clone());
-                if !put(&mut self.members, &message.host, told(1, usage)) {
-                    return heard;
+                let before = self.members.get(&message.host).map(|r| r.usage.clone());
+                if !store_newer(&mut self.members, &message.host, report(1, usage)) {
+                    return received;
                 }
-                heard.is_news = before.is_none_or(|b| is_news(&b, usage));
-                heard.is_news |= self.relay(now, &message.lost);
-                heard.answer = Some((from, self.others(now, &message.host, message.seq)));
+                received.notify_hubs = before.is_none_or(|b| is_urgent(&b, usage));
+                received.notify_hubs |= self.record_failed(now, &message.failed);
+                received.answer = Some((from, self.answer_digest(now, &message.host, message.seq)));
             }
             Body::Centre { hosts, usage } => {
-                if !put(&mut self.hubs, &message.host, told(*hosts, usage)) {
-                    return heard;
+                if !store_newer(&mut self.hubs, &message.host, report(*hosts, usage)) {
+                    return received;
                 }
-                heard.is_news = self.relay(now, &message.lost);
+                received.notify_hubs = self.record_failed(now, &message.failed);
             }
             Body::Others {
                 digest,
@@ -352,12 +360,12 @@
                 usage,
                 ranks,
             } => {
-                heard.answer = self.is_back(now, &message.host);
-                heard.is_answered = *digest == self.digest && *digest > 0;
-                if heard.is_answered {
-                    self.owes = None;
-                    self.answer = Some(Answer {
-                        at: now,
+                received.answer = self.peer_recovered(now, &message.host);
+                received.answers_digest = *digest == self.digest && *digest > 0;
+                if received.answers_digest {
+                    self.pending_since = None;
+                    self.answer = Some(HubAnswer {
+                        received_at: now,
                         hosts: *hosts,
                         usage: usage.clone(),
                         ranks: ranks.clone(),
@@ -365,28 +373,30 @@
                 }
             }
         }
-        heard.lost.clone_from(&message.lost);
-        heard
+        received.failed.clone_from(&message.failed);
+        received
     }
 
-    /// A host stops.
-    fn left(&mut self, now: Millis, message: &Message) -> Heard {
+    /// Applies the sign-off of a host.
+    fn peer_left(&mut self, now: Millis, message: &Message) -> Received {
         self.members.remove(&message.host);
         self.hubs.remove(&message.host);
         if self.hub().is_some_and(|h| h.host == message.host) {
-            self.owes = None;
-            self.silent.insert(message.host.clone(), now + RETRY);
+            self.pending_since = None;
+            self.unresponsive
+                .insert(message.host.clone(), now + PROBE_INTERVAL);
         }
-        Heard {
-            is_news: true,
-            ..Heard::default()
+        Received {
+            notify_hubs: true,
+            ..Received::default()
         }
     }
 
-    /// A host answers. If it is to serve this one again, the hub that has done so meanwhile is told.
-    fn is_back(&mut self, now: Millis, host: &HostId) -> Option<(SocketAddr, Message)> {
+    /// Marks a host as responsive. If that makes it the hub of this host, returns a sign-off for the hub
+    /// used until now.
+    fn peer_recovered(&mut self, now: Millis, host: &HostId) -> Option<(SocketAddr, Message)> {
         let before = self.hub().cloned();
-        self.silent.remove(host)?;
+        self.unresponsive.remove(host)?;
         let before = before.filter(|b| self.hub() != Some(b))?;
         let message = Message {
             leaves: true,
@@ -395,12 +405,15 @@
         Some((before.addr, message))
     }
 
-    /// The answer to the digest of a host that this one serves.
-    fn others(&mut self, now: Millis, host: &HostId, digest: u64) -> Message {
+    /// The answer to the digest of a member.
+    fn answer_digest(&mut self, now: Millis, host: &HostId, digest: u64) -> Message {
         self.expire(now);
-        let sums = self.sums(host);
+        let sums = self.sums_without(host);
         let usage: Vec<Usage> = sums.usage.iter().map(|(_, u)| *u).collect();
-        let ranks = usage.iter().map(|u| self.rank(host, u.service)).collect();
+        let ranks = usage
+            .iter()
+            .map(|u| self.waiting_rank(host, u.service))
+            .collect();
         let body = Body::Others {
             digest,
             hosts: sums.hosts.saturating_add(1),
@@ -410,50 +423,49 @@
         self.message(now, body)
     }
 
-    /// This host found a server to be gone.
-    pub fn lost(&mut self, now: Millis, server: u32) {
-        self.lost.retain(|(s, _)| *s != server);
-        self.lost.push((server, now));
-        self.has_lost = true;
+    /// Records that a server has failed, as found by this host.
+    pub fn server_failed(&mut self, now: Millis, server: u32) {
+        self.failed.retain(|(s, _)| *s != server);
+        self.failed.push((server, now));
+        self.failures_pending = true;
     }
 
-    /// Notes the lost servers that another host tells of; returns whether there are new ones.
-    fn relay(&mut self, now: Millis, lost: &[Lost]) -> bool {
+    /// Records the failed servers that another host reported; returns whether there are new ones.
+    fn record_failed(&mut self, now: Millis, failed: &[FailedServer]) -> bool {
         let mut is_new = false;
-        for one in lost {
-            if self.lost.iter().all(|(server, _)| *server != one.server) {
-                self.lost(now - Millis(u64::from(one.age)), one.server);
+        for one in failed {
+            if self.failed.iter().all(|(server, _)| *server != one.server) {
+                self.server_failed(now - Millis(u64::from(one.age)), one.server);
                 is_new = true;
             }
         }
         is_new
     }
 
-    /// The sums of one service over the other hosts that are heard of; `None` while it is not known
-    /// which hosts there are.
-    pub fn shared(&self, now: Millis, service: u32) -> Option<Shared> {
+    /// The sums of one service over the other reporting hosts; `None` until the host list has been read.
+    pub fn shared_usage(&self, now: Millis, service: u32) -> Option<SharedUsage> {
         if !self.is_listed {
             return None;
         }
         let known = 1 + self.listed.len() as u64;
         let is_waiting = self
-            .told
+            .own_usage
             .iter()
             .any(|u| u.service == service && u.waiting > 0);
         let (hosts, usage, rank) = if self.is_hub() {
-            let sums = self.sums(&self.host);
+            let sums = self.sums_without(&self.host);
             let usage = sums.usage.get(&service).copied();
             (
                 sums.hosts.saturating_add(1),
                 usage,
-                self.rank(&self.host, service),
+                self.waiting_rank(&self.host, service),
             )
         } else {
-            let Some(answer) = self.fresh(now) else {
-                return Some(Shared {
-                    heard: 1,
+            let Some(answer) = self.fresh_answer(now) else {
+                return Some(SharedUsage {
+                    reporting: 1,
                     known,
-                    ..Shared::default()
+                    ..SharedUsage::default()
                 });
             };
             let at = answer.usage.iter().position(|u| u.service == service);
@@ -461,73 +473,73 @@
             (answer.hosts, at.map(|i| answer.usage[i]), rank.unwrap_or(0))
         };
         let usage = usage.unwrap_or_default();
-        let heard = u64::from(hosts);
-        Some(Shared {
-            heard,
-            known: known.max(heard),
+        let reporting = u64::from(hosts);
+        Some(SharedUsage {
+            reporting,
+            known: known.max(reporting),
             requests: usage.requests.map(u64::from),
-            repeats: u64::from(usage.repeats),
+            retries: u64::from(usage.retries),
             waiting: u64::from(usage.waiting) + u64::from(is_waiting),
             rank: is_waiting.then_some(u64::from(rank)),
         })
     }
 
-    /// The sums over all hosts that are heard of, but for one.
-    fn sums(&self, but: &HostId) -> Sums {
-        let mut sums = self.served(Some(but));
-        for (_, told) in self.hubs.iter() {
-            sums.add(told);
+    /// The sums over all reporting hosts except `but`.
+    fn sums_without(&self, but: &HostId) -> Sums {
+        let mut sums = self.member_sums(Some(but));
+        for (_, report) in self.hubs.iter() {
+            sums.add(report);
         }
         sums
     }
 
-    /// The sums over this host and those that it serves, but for one.
-    fn served(&self, but: Option<&HostId>) -> Sums {
+    /// The sums over this host and its members, except `but`.
+    fn member_sums(&self, but: Option<&HostId>) -> Sums {
         let mut sums = Sums::default();
-        // A host that another one serves is counted there.
+        // A host that has another hub is counted there.
         if but != Some(&self.host) && self.is_hub() {
-            sums.add_usage(1, &self.told);
+            sums.add_usage(1, &self.own_usage);
         }
-        for (host, told) in self.members.iter() {
+        for (host, report) in self.members.iter() {
             if but != Some(host) {
-                sums.add(told);
+                sums.add(report);
             }
         }
         sums
     }
 
-    /// The hosts with waiting requests that come before `host`: those of data centres before this one,
-    /// and those before it among the served ones.
-    fn rank(&self, host: &HostId, service: u32) -> u32 {
+    /// The number of hosts with waiting requests that come before `host`: those reported by hubs that come
+    /// before this one by name, and those before `host` among this hub and its members.
+    fn waiting_rank(&self, host: &HostId, service: u32) -> u32 {
         let waiting = |usage: &[Usage]| {
             let of_service = usage.iter().filter(|u| u.service == service);
             of_service.fold(0, |sum: u32, u| sum.saturating_add(u.waiting))
         };
         let hubs = self.hubs.iter().filter(|(h, _)| **h < self.host);
-        let rank = hubs.fold(0, |sum: u32, (_, t)| sum.saturating_add(waiting(&t.usage)));
-        let served = self.members.iter().filter(|(h, _)| *h < host);
-        let rank = served.fold(rank, |sum, (_, t)| sum.saturating_add(waiting(&t.usage)));
+        let rank = hubs.fold(0, |sum: u32, (_, r)| sum.saturating_add(waiting(&r.usage)));
+        let members = self.members.iter().filter(|(h, _)| *h < host);
+        let rank = members.fold(rank, |sum, (_, r)| sum.saturating_add(waiting(&r.usage)));
         if self.host < *host && self.is_hub() {
-            rank.saturating_add(waiting(&self.told))
+            rank.saturating_add(waiting(&self.own_usage))
         } else {
             rank
         }
     }
 
     fn expire(&mut self, now: Millis) {
-        let is_fresh = |_: &HostId, t: &mut Told| now.since(t.at) < FRESH;
+        let is_fresh = |_: &HostId, r: &mut PeerReport| now.since(r.received_at) < REPORT_TTL;
         self.members.retain(is_fresh);
         self.hubs.retain(is_fresh);
     }
 }
 
 impl Sums {
-    fn add(&mut self, told: &Told) {
-        self.add_usage(told.hosts, &told.usage);
+    fn add(&mut self, report: &PeerReport) {
+        self.add_usage(report.hosts, &report.usage);
     }
 
     fn add_usage(&mut self, hosts: u32, usage: &[Usage]) {
-        // Sums are bounded, since any datagram may come.
+        // Saturating, as a datagram may carry any values.
         self.hosts = self.hosts.saturating_add(hosts);
         for one in usage {
             let sum = self.usage.entry(one.service, || Usage {
@@ -537,14 +549,17 @@
             for (sum, one) in sum.requests.iter_mut().zip(one.requests) {
                 *sum = sum.saturating_add(one);
             }
-            sum.repeats = sum.repeats.saturating_add(one.repeats);
+            sum.retries = sum.retries.saturating_add(one.retries);
             sum.waiting = sum.waiting.saturating_add(one.waiting);
         }
     }
 }
 
-/// The order in which the hosts of a data centre are taken as its hub.
-fn order<'a>(data_centre: &'a DataCentre, host: &'a HostId) -> (&'a DataCentre, u64, &'a HostId) {
+/// Sort key of hosts: by data centre, and within it the order in which hosts become its hub.
+fn hub_order<'a>(
+    data_centre: &'a DataCentre,
+    host: &'a HostId,
+) -> (&'a DataCentre, u64, &'a HostId) {
     let weight = rendezvous(data_centre.as_str(), host.as_str());
     (data_centre, weight, host)
 }
@@ -554,18 +569,19 @@
     messages.collect()
 }
 
-/// Whether the other hubs are to be told at once that a host's use has changed.
-fn is_news(before: &[Usage], usage: &[Usage]) -> bool {
-    let key = |u: &Usage| (u.service, u.repeats, u.waiting);
+/// Whether a change of a host's usage is sent to the other hubs at once: its retries or waiting hosts differ.
+fn is_urgent(before: &[Usage], usage: &[Usage]) -> bool {
+    let key = |u: &Usage| (u.service, u.retries, u.waiting);
     !before.iter().map(key).eq(usage.iter().map(key))
 }
 
-/// Keeps what a host told, unless it is older than what is held; returns whether it was kept.
-fn put(all: &mut Sorted<HostId, Told>, host: &HostId, told: Told) -> bool {
-    let is_old = |held: &Told| held.incarnation == told.incarnation && told.seq <= held.seq;
+/// Stores a report unless a newer one of the same incarnation is held; returns whether it was stored.
+fn store_newer(all: &mut Sorted<HostId, PeerReport>, host: &HostId, report: PeerReport) -> bool {
+    let is_old =
+        |held: &PeerReport| held.incarnation == report.incarnation && report.seq <= held.seq;
     if all.get(host).is_some_and(is_old) {
         return false;
     }
-    all.insert(host.clone(), told);
+    all.insert(host.clone(), report);
     true
 }
--- a/crates/membership/src/own.rs
+++ b/crates/membership/src/own.rs
@@ -1,38 +1,40 @@
-//! The host of an agent.
+//! The host that an agent runs on.
 
 use base::prelude::*;
 use serde::Serialize;
 
-use crate::hosts::Life;
+use crate::hosts::Lifecycle;
 use crate::listed::Place;
 
-/// The host of this agent.
+/// The host that this agent runs on.
 #[derive(Clone, Debug, Serialize)]
-pub struct Own {
-    /// The host.
+pub struct OwnHost {
+    /// Name of the host.
     pub host: HostId,
-    /// Where it is reached.
+    /// Data centre and addresses, from the settings until the host list confirms them.
     pub place: Place,
-    /// Whether the host list has confirmed where it is reached.
-    pub is_placed: bool,
-    /// The life of this agent, and whether the host takes no new work.
-    pub life: Life,
+    /// Whether `place` holds the router address from the host list.
+    #[serde(rename = "is_placed")]
+    pub place_confirmed: bool,
+    /// Incarnation of this agent, and whether the host is leaving and takes no new work.
+    #[serde(rename = "life")]
+    pub lifecycle: Lifecycle,
 }
 
-impl Own {
-    /// A host whose agent starts now.
+impl OwnHost {
+    /// A host whose agent starts at `now`.
     pub fn new(now: Millis, host: HostId, place: Place, incarnation: Incarnation) -> Self {
-        let life = Life::newborn(now, incarnation);
+        let lifecycle = Lifecycle::with_incarnation(now, incarnation);
         Self {
             host,
             place,
-            is_placed: false,
-            life,
+            place_confirmed: false,
+            lifecycle,
         }
     }
 
-    /// The life of this agent.
+    /// Incarnation of this agent.
     pub fn incarnation(&self) -> Incarnation {
-        self.life.incarnation.unwrap_or_default()
+        self.lifecycle.incarnation.unwrap_or_default()
     }
 }
--- a/crates/membership/tests/host_digests.rs
+++ b/crates/membership/tests/host_digests.rs
@@ -1,20 +1,21 @@
-//! What hosts tell each other: through hubs, on virtual time, with hosts that stop or are cut off.
+//! Exchange of usage and failed servers through hubs, on virtual time, with hosts that stop or are cut off.
 
 use std::net::SocketAddr;
 
 use base::prelude::*;
-use membership::gossip::{Body, Gossip, Listed, Lost, Message, Shared, Usage};
+use membership::gossip::{Body, FailedServer, Gossip, ListedPeer, Message, SharedUsage, Usage};
 
-/// The time between two digests of a host, and between two looks at what has arrived.
+/// The period of digests.
 const PERIOD: Millis = Millis(500);
+/// The step of the clock; messages sent in one step arrive in the next.
 const STEP: Millis = Millis(10);
 
-/// Hosts that exchange messages; a message arrives with the next step.
+/// A simulated network of hosts.
 struct Net {
     now: Millis,
     hosts: Vec<Host>,
     sent: Vec<(SocketAddr, SocketAddr, Message)>,
-    /// The messages that each host sent.
+    /// Number of messages sent by each host.
     counts: Vec<u64>,
 }
 
@@ -26,7 +27,7 @@
     usage: Usage,
     is_up: bool,
     is_cut: bool,
-    lost: Vec<u32>,
+    failed: Vec<u32>,
 }
 
 fn addr(i: usize) -> SocketAddr {
@@ -34,7 +35,7 @@
 }
 
 impl Net {
-    /// So many hosts in so many data centres, each with 10 requests and 1 repeat.
+    /// `hosts` hosts in `centres` data centres, each with 10 requests in the current window and 1 retry.
     fn new(hosts: usize, centres: usize) -> Self {
         let host = |i: usize| {
             let name = HostId::from(format!("host-{i}").as_str());
@@ -47,12 +48,12 @@
                 usage: Usage {
                     service: 1,
                     requests: [10, 20, 30],
-                    repeats: 1,
+                    retries: 1,
                     waiting: 0,
                 },
                 is_up: true,
                 is_cut: false,
-                lost: Vec::new(),
+                failed: Vec::new(),
             }
         };
         let mut net = Self {
@@ -61,9 +62,9 @@
             sent: Vec::new(),
             counts: vec![0; hosts],
         };
-        let all: Vec<Listed> = net.hosts.iter().map(Host::listed).collect();
+        let all: Vec<ListedPeer> = net.hosts.iter().map(Host::listed).collect();
         for host in &mut net.hosts {
-            host.gossip.listed(all.clone());
+            host.gossip.set_hosts(all.clone());
         }
         net
     }
@@ -74,13 +75,13 @@
             self.now = self.now + STEP;
             self.deliver();
             for i in 0..self.hosts.len() {
-                // Hosts do not tell at the same moment.
+                // Digest periods of hosts are staggered.
                 if self.hosts[i].is_up && (self.now.0 + 30 * i as u64).is_multiple_of(PERIOD.0) {
                     let now = self.now;
                     let host = &mut self.hosts[i];
                     let mut messages = host.gossip.digest(now, vec![host.usage]);
-                    messages.extend(host.gossip.centre(now));
-                    messages.extend(host.gossip.lost_servers(now));
+                    messages.extend(host.gossip.centre_sums(now));
+                    messages.extend(host.gossip.failed_servers(now));
                     self.send(i, messages);
                 }
             }
@@ -103,35 +104,35 @@
             if !self.hosts[i].is_up || self.hosts[i].is_cut || self.hosts.iter().any(is_cut) {
                 continue;
             }
-            let heard = self.hosts[i].gossip.heard(self.now, from, &message);
-            let lost = heard.lost.iter().map(|l| l.server);
-            self.hosts[i].lost.extend(lost);
-            self.send(i, heard.answer.into_iter().collect());
+            let received = self.hosts[i].gossip.receive(self.now, from, &message);
+            let failed = received.failed.iter().map(|f| f.server);
+            self.hosts[i].failed.extend(failed);
+            self.send(i, received.answer.into_iter().collect());
         }
     }
 
-    fn shared(&self, i: usize) -> Shared {
+    fn shared(&self, i: usize) -> SharedUsage {
         self.hosts[i]
             .gossip
-            .shared(self.now, 1)
+            .shared_usage(self.now, 1)
             .expect("the list was read")
     }
 
-    /// The host of a data centre that is the hub of others, or has none itself.
+    /// The hub of a data centre: the one with members if there are several.
     fn hub(&self, centre: usize) -> usize {
         let data_centre = DataCentre::from(format!("dc-{centre}").as_str());
         let is_hub = |h: &Host| h.data_centre == data_centre && h.is_up && h.gossip.is_hub();
         let hubs = || (0..self.hosts.len()).filter(|i| is_hub(&self.hosts[*i]));
-        let serving = hubs().find(|i| self.hosts[*i].gossip.serves());
+        let serving = hubs().find(|i| self.hosts[*i].gossip.has_members());
         serving.or_else(|| hubs().next()).expect("a hub")
     }
 
-    /// Whether every host that is up and not cut off has the sums over `count` others.
+    /// Asserts that every host that is up and not cut off has the sums over `count` others.
     fn assert_sums(&self, count: u64) {
         for (i, host) in self.hosts.iter().enumerate() {
             if host.is_up && !host.is_cut {
                 let shared = self.shared(i);
-                let seen = (shared.heard, shared.requests, shared.repeats);
+                let seen = (shared.reporting, shared.requests, shared.retries);
                 let requests = [10, 20, 30].map(|r| r * count);
                 assert_eq!(seen, (count + 1, requests, count), "{:?}", host.name);
             }
@@ -140,8 +141,8 @@
 }
 
 impl Host {
-    fn listed(&self) -> Listed {
-        Listed {
+    fn listed(&self) -> ListedPeer {
+        ListedPeer {
             host: self.name.clone(),
             data_centre: self.data_centre.clone(),
             addr: self.addr,
@@ -159,9 +160,9 @@
     }
 }
 
-/// The messages of a host that is no hub do not grow with the number of hosts.
+/// The number of messages that a host other than a hub sends does not grow with the number of hosts.
 #[test]
-fn messages_of_a_host() {
+fn member_message_count_is_bounded() {
     let busiest = |hosts: usize| {
         let mut net = Net::new(hosts, 3);
         net.run(Millis(10_000));
@@ -179,7 +180,7 @@
 }
 
 #[test]
-fn other_hub_takes_over() {
+fn next_hub_takes_over() {
     let mut net = Net::new(24, 3);
     net.run(Millis(2_000));
     let hub = net.hub(1);
@@ -193,15 +194,15 @@
         net.hosts[hub].data_centre.clone(),
         Incarnation(2),
     );
-    let all: Vec<Listed> = net.hosts.iter().map(Host::listed).collect();
-    net.hosts[hub].gossip.listed(all);
+    let all: Vec<ListedPeer> = net.hosts.iter().map(Host::listed).collect();
+    net.hosts[hub].gossip.set_hosts(all);
     net.run(Millis(6_000));
-    assert_eq!(net.hub(1), hub, "the first in order serves again");
+    assert_eq!(net.hub(1), hub, "the first in hub order is the hub again");
     net.assert_sums(23);
 }
 
 #[test]
-fn stopping_hub_is_left_at_once() {
+fn stopping_hub_is_replaced_at_once() {
     let mut net = Net::new(9, 3);
     net.run(Millis(2_000));
     let hub = net.hub(2);
@@ -210,10 +211,13 @@
     net.send(hub, messages);
     net.run(Millis(1_000));
     let next = net.hub(2);
-    assert_ne!(next, hub, "the next takes over while the other still runs");
+    assert_ne!(
+        next, hub,
+        "the next takes over while the stopping hub still runs"
+    );
     net.run(Millis(6_000));
     net.assert_sums(8);
-    assert_eq!(net.hub(2), next, "and keeps it");
+    assert_eq!(net.hub(2), next, "the next stays the hub");
     let now = net.now;
     let messages = net.hosts[hub].gossip.leave(now);
     net.send(hub, messages);
@@ -224,7 +228,7 @@
 }
 
 #[test]
-fn host_cut_off_is_alone() {
+fn isolated_host_reports_only_itself() {
     let mut net = Net::new(9, 3);
     net.run(Millis(2_000));
     let cut = (0..9)
@@ -233,16 +237,16 @@
     net.hosts[cut].is_cut = true;
     net.run(Millis(4_500));
     let alone = net.shared(cut);
-    assert_eq!((alone.heard, alone.known), (1, 9));
-    assert_eq!((alone.requests, alone.repeats), ([0; 3], 0));
+    assert_eq!((alone.reporting, alone.known), (1, 9));
+    assert_eq!((alone.requests, alone.retries), ([0; 3], 0));
     net.assert_sums(7);
 }
 
 #[test]
-fn unread_list_tells_nothing() {
+fn no_messages_before_host_list() {
     let mut gossip = Gossip::new(HostId::from("own"), DataCentre::from("dc"), Incarnation(1));
     assert_eq!(gossip.digest(Millis(0), Vec::new()), []);
-    assert_eq!(gossip.shared(Millis(0), 1), None);
+    assert_eq!(gossip.shared_usage(Millis(0), 1), None);
 }
 
 #[test]
@@ -259,68 +263,72 @@
 }
 
 #[test]
-fn lost_servers_reach_all() {
+fn failed_servers_reach_all_hosts() {
     let mut net = Net::new(12, 3);
     net.run(Millis(2_000));
     let now = net.now;
-    net.hosts[4].gossip.lost(now, 77);
+    net.hosts[4].gossip.server_failed(now, 77);
     net.run(Millis(1_500));
     for (i, host) in net.hosts.iter().enumerate() {
-        assert!(i == 4 || host.lost.contains(&77), "{:?}", host.name);
+        assert!(i == 4 || host.failed.contains(&77), "{:?}", host.name);
     }
     for host in &mut net.hosts {
-        host.lost.clear();
+        host.failed.clear();
     }
     net.run(Millis(3_000));
-    net.hosts.iter_mut().for_each(|h| h.lost.clear());
+    net.hosts.iter_mut().for_each(|h| h.failed.clear());
     net.run(Millis(3_000));
     assert!(
-        net.hosts.iter().all(|h| h.lost.is_empty()),
-        "told for a while only"
+        net.hosts.iter().all(|h| h.failed.is_empty()),
+        "failed servers are sent for a limited time only"
     );
 }
 
 #[test]
 fn old_messages_are_dropped() {
-    let centre = |seq: u64, incarnation: u64, repeats: u32| Message {
+    let digest = |seq: u64, incarnation: u64, retries: u32| Message {
         host: HostId::from("a"),
         incarnation: Incarnation(incarnation),
         seq,
         leaves: false,
-        lost: Vec::new(),
+        failed: Vec::new(),
         body: Body::Digest(vec![Usage {
             service: 1,
             requests: [10; 3],
-            repeats,
+            retries,
             waiting: 0,
         }]),
     };
     let mut gossip = Gossip::new(HostId::from("own"), DataCentre::from("dc"), Incarnation(1));
-    gossip.listed(Vec::new());
-    let repeats = |g: &Gossip| g.shared(Millis(2), 1).map(|s| s.repeats);
+    gossip.set_hosts(Vec::new());
+    let retries = |g: &Gossip| g.shared_usage(Millis(2), 1).map(|s| s.retries);
     assert!(
         gossip
-            .heard(Millis(0), addr(1), &centre(5, 1, 3))
+            .receive(Millis(0), addr(1), &digest(5, 1, 3))
             .answer
             .is_some()
     );
     assert_eq!(
-        gossip.heard(Millis(1), addr(1), &centre(4, 1, 9)).answer,
+        gossip.receive(Millis(1), addr(1), &digest(4, 1, 9)).answer,
         None
     );
-    assert_eq!(repeats(&gossip), Some(3));
-    gossip.heard(Millis(2), addr(1), &centre(1, 2, 0));
-    assert_eq!(repeats(&gossip), Some(0), "the host started anew");
+    assert_eq!(retries(&gossip), Some(3));
+    gossip.receive(Millis(2), addr(1), &digest(1, 2, 0));
+    assert_eq!(
+        retries(&gossip),
+        Some(0),
+        "a new incarnation replaces the report"
+    );
 }
 
 #[test]
-fn absurd_counts() {
+fn sums_saturate() {
     let message = |host: &str| Message {
         host: HostId::from(host),
         incarnation: Incarnation(1),
         seq: u64::MAX,
         leaves: false,
-        lost: vec![Lost {
+        failed: vec![FailedServer {
             server: 1,
             age: u32::MAX,
         }],
@@ -329,16 +337,18 @@
             usage: vec![Usage {
                 service: 1,
                 requests: [u32::MAX; 3],
-                repeats: u32::MAX,
+                retries: u32::MAX,
                 waiting: u32::MAX,
             }],
         },
     };
     let mut gossip = Gossip::new(HostId::from("own"), DataCentre::from("dc"), Incarnation(1));
-    gossip.listed(Vec::new());
+    gossip.set_hosts(Vec::new());
     for host in ["a", "b"] {
-        gossip.heard(Millis(0), addr(1), &message(host));
+        gossip.receive(Millis(0), addr(1), &message(host));
     }
-    let shared = gossip.shared(Millis(1), 1).expect("the list was read");
-    assert_eq!(shared.repeats, u64::from(u32::MAX));
+    let shared = gossip
+        .shared_usage(Millis(1), 1)
+        .expect("the list was read");
+    assert_eq!(shared.retries, u64::from(u32::MAX));
 }
--- a/crates/membership/tests/sim/mod.rs
+++ b/crates/membership/tests/sim/mod.rs
@@ -1,4 +1,4 @@
-//! Agents of several data centres that exchange beats over a network of which parts can be cut.
+//! Simulation of agents in several data centres; links between two hosts can be cut.
 
 use std::net::SocketAddr;
 
@@ -6,13 +6,13 @@
 use membership::backends::Report;
 use membership::listed::{ListedBackend, ListedHost, Place};
 use membership::members::Action;
-use membership::own::Own;
-use membership::{Beat, Members, Policy};
+use membership::own::OwnHost;
+use membership::{Heartbeat, Members, Policy};
 
-/// The step of the clock, in milliseconds.
+/// The step of the clock.
 const STEP: Millis = Millis(50);
 
-/// An entry host with its agent.
+/// An entry host with its agent; `members` is `None` while the agent does not run.
 pub(crate) struct Agent {
     pub(crate) name: HostId,
     pub(crate) members: Option<Members>,
@@ -20,14 +20,14 @@
     place: Place,
 }
 
-/// A backend server.
+/// A backend server and the report with which it answers polls.
 pub(crate) struct Server {
     pub(crate) listed: ListedBackend,
     pub(crate) report: Report,
     pub(crate) is_up: bool,
 }
 
-/// All agents and backend servers.
+/// The simulated agents, backend servers and host list.
 #[derive(Default)]
 pub(crate) struct Sim {
     pub(crate) now: Millis,
@@ -36,9 +36,9 @@
     pub(crate) list: Vec<ListedHost>,
     pub(crate) cuts: Vec<(HostId, HostId)>,
     pub(crate) polls: u64,
-    /// How the size of a beat is taken, if it is.
-    pub(crate) measure: Option<fn(&Beat) -> u64>,
-    pub(crate) beats: Vec<u64>,
+    /// Measures heartbeats; `None` to record no sizes.
+    pub(crate) measure: Option<fn(&Heartbeat) -> u64>,
+    pub(crate) sizes: Vec<u64>,
 }
 
 fn addr(port: usize) -> SocketAddr {
@@ -87,15 +87,15 @@
         });
     }
 
-    /// Starts or restarts an agent under an incarnation.
-    pub(crate) fn start(&mut self, name: &str, life: u64) {
+    /// Starts or restarts an agent with an incarnation.
+    pub(crate) fn start(&mut self, name: &str, incarnation: u64) {
         let now = self.now;
         let agent = self.agent(name);
-        let own = Own::new(
+        let own = OwnHost::new(
             now,
             agent.name.clone(),
             agent.place.clone(),
-            Incarnation(life),
+            Incarnation(incarnation),
         );
         agent.members = Some(Members::new(own, Policy::default()));
         self.read_list(name);
@@ -112,7 +112,7 @@
         found.unwrap_or_else(|| panic!("no backend server {name}"))
     }
 
-    /// Shows the host list to one agent.
+    /// Lets one agent read the host list.
     pub(crate) fn read_list(&mut self, name: &str) {
         let (now, mut list) = (self.now, self.list.clone());
         list.sort_by(|a, b| a.host.cmp(&b.host));
@@ -120,11 +120,11 @@
         let mut servers: Vec<ListedBackend> = servers.collect();
         servers.sort_by(|a, b| a.backend.cmp(&b.backend));
         if let Some(members) = &mut self.agent(name).members {
-            members.listed(now, &list, &servers);
+            members.apply_host_list(now, &list, &servers);
         }
     }
 
-    /// Lets time pass.
+    /// Advances the clock by `span` and runs all agents.
     pub(crate) fn run(&mut self, span: Millis) {
         let end = self.now + span;
         while self.now < end {
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Lets one agent act.
+    /// Runs one agent at the current time.
     pub(crate) fn tick_one(&mut self, name: &str) {
         let i = self.agents.iter().position(|a| a.name.as_str() == name);
         i.into_iter().for_each(|i| self.tick(i));
@@ -149,7 +149,7 @@
         }
         for action in actions {
             match action {
-                Action::Beat { host, .. } => self.exchange(i, &host),
+                Action::Heartbeat { host, .. } => self.exchange(i, &host),
                 Action::Poll { backend, .. } => self.poll(i, &backend),
             }
         }
@@ -162,19 +162,19 @@
         if self.cuts.iter().any(is_cut) {
             return;
         }
-        let question = running(&mut self.agents[i]).map(|m| m.beat(now, to));
+        let request = running(&mut self.agents[i]).map(|m| m.heartbeat(now, to));
         let peer = self.agents.iter_mut().find(|a| a.name == *to);
-        let Some((peer, question)) = peer.and_then(running).zip(question) else {
+        let Some((peer, request)) = peer.and_then(running).zip(request) else {
             return;
         };
-        let sizes = self.measure.map(|size| size(&question));
-        self.beats.extend(sizes);
-        peer.heard(now, question);
-        let answer = peer.beat(now, &from);
+        let sizes = self.measure.map(|size| size(&request));
+        self.sizes.extend(sizes);
+        peer.receive(now, request);
+        let answer = peer.heartbeat(now, &from);
         let sizes = self.measure.map(|size| size(&answer));
-        self.beats.extend(sizes);
+        self.sizes.extend(sizes);
         if let Some(members) = running(&mut self.agents[i]) {
-            members.heard(now, answer);
+            members.receive(now, answer);
         }
     }
 
@@ -184,44 +184,44 @@
         let server = self.servers.iter().find(|s| s.listed.backend == *backend);
         let report = server.filter(|s| s.is_up).map(|s| s.report.clone());
         if let Some(members) = running(&mut self.agents[i]) {
-            members.polled(now, backend, report);
+            members.apply_poll_result(now, backend, report);
         }
     }
 
-    /// What an agent believes, one line a member.
+    /// The view of an agent, one line per member.
     pub(crate) fn show(&mut self, name: &str) -> String {
         let Some(members) = &self.agent(name).members else {
             return "not running\n".to_owned();
         };
         let mut text = String::new();
         for (id, host) in members.hosts() {
-            let life = host.life.incarnation.map_or(0, |i| i.0);
-            let leaving = if host.life.is_leaving() {
+            let incarnation = host.lifecycle.incarnation.map_or(0, |i| i.0);
+            let leaving = if host.lifecycle.is_leaving() {
                 " leaving"
             } else {
                 ""
             };
-            text += &format!("{id} {} life={life}{leaving}\n", host.standing);
+            text += &format!("{id} {} life={incarnation}{leaving}\n", host.status);
         }
         for (id, backend) in members.backends() {
-            let life = backend.life.incarnation.map_or(0, |i| i.0);
+            let incarnation = backend.lifecycle.incarnation.map_or(0, |i| i.0);
             let alive = if backend.is_alive() { "alive" } else { "dead" };
-            let leaving = if backend.life.is_leaving() {
+            let leaving = if backend.lifecycle.is_leaving() {
                 " leaving"
             } else {
                 ""
             };
             let load = backend.claim().map_or(0, |c| c.report.running);
-            text += &format!("{id} {alive} life={life} load={load}{leaving}\n");
+            text += &format!("{id} {alive} life={incarnation} load={load}{leaving}\n");
         }
-        if members.own().life.leaving {
+        if members.own().lifecycle.leaving {
             text += "this host leaves\n";
         }
         text
     }
 }
 
-/// The members of an agent that runs.
+/// The members of an agent; `None` if it is stopped or paused.
 pub(crate) fn running(agent: &mut Agent) -> Option<&mut Members> {
     let paused = agent.paused;
     agent.members.as_mut().filter(|_| !paused)
--- a/crates/peer/tests/beat_size.rs
+++ b/crates/peer/tests/beat_size.rs
@@ -7,7 +7,7 @@
 use std::pin::Pin;
 
 use base::prelude::*;
-use membership::Beat;
+use membership::Heartbeat;
 use sim::Sim;
 use tokio_serde::Serializer;
 use tokio_serde::formats::MessagePack;
@@ -57,8 +57,8 @@
         }
         sim.run(Millis(1_000));
     }
-    let beats = sim.beats.len() as u64;
-    let bytes: u64 = sim.beats.iter().sum();
+    let beats = sim.sizes.len() as u64;
+    let bytes: u64 = sim.sizes.iter().sum();
     // Each beat is sent by one node and received by another.
     let beat_rate = 2 * (bytes + beats * CALL_BYTES) / SPAN_S / AGENTS;
     let poll_rate = sim.polls * POLL_BYTES / SPAN_S / AGENTS;
@@ -85,15 +85,15 @@
             let mut found = members
                 .flat_map(|m| m.backends())
                 .filter(|(id, _)| **id == name);
-            let leaves = found.all(|(_, b)| b.life.is_leaving());
+            let leaves = found.all(|(_, b)| b.lifecycle.is_leaving());
             assert!(leaves, "{} does not know that {name} leaves", agent.name);
         }
     }
 }
 
 /// The bytes of a beat as it travels.
-fn size(beat: &Beat) -> u64 {
-    let mut format: MessagePack<Beat, Beat> = MessagePack::default();
+fn size(beat: &Heartbeat) -> u64 {
+    let mut format: MessagePack<Heartbeat, Heartbeat> = MessagePack::default();
     let bytes = Pin::new(&mut format).serialize(beat);
     bytes.map_or(0, |b| b.len() as u64)
 }
--- a/crates/relay/src/budget.rs
+++ b/crates/relay/src/budget.rs
@@ -11,7 +11,7 @@
 //! holds without any message.
 
 use base::prelude::*;
-use membership::gossip::{Shared, WINDOWS};
+use membership::gossip::{SharedUsage, WINDOWS};
 
 /// Number of buckets into which a window is divided for counting.
 const BUCKETS: u64 = 10;
@@ -35,7 +35,7 @@
     extra: u64,
     buckets: Vec<Bucket>,
     /// Sums over the other hosts as of the last exchange.
-    others: Shared,
+    others: SharedUsage,
     /// Retries of this host that the last exchange does not include.
     unconfirmed: u64,
     /// Retries of this host since it last sent its counts.
@@ -54,10 +54,10 @@
             permille,
             extra,
             buckets: Vec::new(),
-            others: Shared {
-                heard: 1,
+            others: SharedUsage {
+                reporting: 1,
                 known: hosts.max(1),
-                ..Shared::default()
+                ..SharedUsage::default()
             },
             unconfirmed: 0,
             unreported: 0,
@@ -88,7 +88,7 @@
         let pool = allowed.saturating_sub(used);
         // The pool is already reduced by the retries sent since the exchange.
         let before = pool + self.unconfirmed;
-        let share = before / others.heard + self.remainder_share(before % others.heard);
+        let share = before / others.reporting + self.remainder_share(before % others.reporting);
         pool.min(share.saturating_sub(self.unconfirmed))
     }
 
@@ -97,14 +97,14 @@
         let others = &self.others;
         // If isolated hosts could each choose their best window, callers that move from one host to another
         // would count at both, and the sum over hosts would exceed the bound.
-        let is_isolated = others.heard == 1 && others.known > 1;
+        let is_isolated = others.reporting == 1 && others.known > 1;
         let windows = if is_isolated { 1 } else { WINDOWS };
         let requests = self.requests(now).into_iter().zip(others.requests);
         let sums = requests.map(|(own, other)| own + other);
         let most = sums.take(windows).max().unwrap_or(0);
         let earned = most * self.permille / 1_000;
-        let fixed = self.extra * others.heard / others.known;
-        (earned + fixed, self.retries(now) + others.repeats)
+        let fixed = self.extra * others.reporting / others.known;
+        (earned + fixed, self.retries(now) + others.retries)
     }
 
     /// Whether this host should send its counts before the next regular exchange: half of its share, or half
@@ -139,7 +139,7 @@
     }
 
     /// Sums over the other hosts as of the last exchange.
-    pub fn others(&self) -> &Shared {
+    pub fn others(&self) -> &SharedUsage {
         &self.others
     }
 
@@ -172,7 +172,7 @@
     }
 
     /// Applies the sums over the other hosts that answer the counts sent last.
-    pub fn finish_exchange(&mut self, others: Shared) {
+    pub fn finish_exchange(&mut self, others: SharedUsage) {
         self.others = others;
         self.unconfirmed = self.unreported;
     }
--- a/crates/relay/tests/retry_budget.rs
+++ b/crates/relay/tests/retry_budget.rs
@@ -1,7 +1,7 @@
 //! Retry budget of one host, and its bound over many hosts.
 
 use base::prelude::*;
-use membership::gossip::Shared;
+use membership::gossip::SharedUsage;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use relay::Budget;
@@ -67,10 +67,10 @@
 #[test]
 fn fixed_share_of_the_known_hosts() {
     let mut budget = Budget::new(WINDOW, 0, 80, 16);
-    let alone = Shared {
-        heard: 1,
+    let alone = SharedUsage {
+        reporting: 1,
         known: 8,
-        ..Shared::default()
+        ..SharedUsage::default()
     };
     budget.finish_exchange(alone);
     assert_eq!(budget.remaining(Millis(0)), 10);
@@ -79,11 +79,11 @@
 #[test]
 fn equal_share_between_exchanges() {
     let mut budget = Budget::new(WINDOW, 1_000, 0, 1);
-    let others = Shared {
-        heard: 10,
+    let others = SharedUsage {
+        reporting: 10,
         known: 10,
         requests: [100; 3],
-        ..Shared::default()
+        ..SharedUsage::default()
     };
     budget.finish_exchange(others);
     let spent = (0..100).filter(|_| budget.try_spend(Millis(0))).count();
@@ -106,10 +106,10 @@
 #[test]
 fn exchange_is_due_at_half_use() {
     let mut budget = Budget::new(WINDOW, 0, 100, 1);
-    budget.finish_exchange(Shared {
-        heard: 5,
+    budget.finish_exchange(SharedUsage {
+        reporting: 5,
         known: 5,
-        ..Shared::default()
+        ..SharedUsage::default()
     });
     let is_urgent = (0..12).map(|_| {
         budget.try_spend(Millis(0));
@@ -117,11 +117,11 @@
     });
     let first = is_urgent.take_while(|is_urgent| !is_urgent).count();
     assert_eq!(first, 9, "due at the tenth of 20 retries");
-    let scarce = Shared {
-        heard: 5,
+    let scarce = SharedUsage {
+        reporting: 5,
         known: 5,
-        repeats: 60,
-        ..Shared::default()
+        retries: 60,
+        ..SharedUsage::default()
     };
     let mut budget = Budget::new(WINDOW, 0, 100, 1);
     budget.finish_exchange(scarce);
@@ -207,11 +207,11 @@
     for (budget, own) in budgets.iter_mut().zip(&used) {
         let is_waiting = budget.waiting() > 0;
         budget.begin_exchange();
-        budget.finish_exchange(Shared {
-            heard: hosts,
+        budget.finish_exchange(SharedUsage {
+            reporting: hosts,
             known: hosts,
             requests: [0, 1, 2].map(|i| sums.0[i] - own.0[i]),
-            repeats: sums.1 - own.1,
+            retries: sums.1 - own.1,
             waiting: all,
             rank: is_waiting.then_some(before),
         });
