--- a/crates/gooseberry-agent/src/commit.rs
+++ b/crates/gooseberry-agent/src/commit.rs
@@ -1,10 +1,10 @@
 //! Carries a proposal to the platform.
 
 use base::prelude::*;
+use profiles::cache::Update;
 use profiles::change::{Proposal, Revision};
-use profiles::commit::{Commit, Outcome, Seen, Step, Written};
+use profiles::commit::{Commit, Outcome, Step, StoreState, WriteResult};
 use profiles::document::Document;
-use profiles::held::News;
 use store::config::HeadRow;
 
 use crate::shared::{Agent, SharedAgent};
@@ -21,28 +21,28 @@
     let base = proposal.base;
     let mut commit = Commit::new(proposal, agent.timer.now() + LIMIT);
     let mut head = HeadRow::default();
-    let mut step = Step::Look;
+    let mut step = Step::Read;
     loop {
         step = match step {
-            Step::Look => {
+            Step::Read => {
                 let seen = look(agent, base, &mut head).await;
-                commit.looked(agent.timer.now(), seen.as_ref())
+                commit.on_read(agent.timer.now(), seen.as_ref())
             }
-            Step::LookLater => {
+            Step::ReadLater => {
                 agent.timer.after(PAUSE).await;
-                Step::Look
+                Step::Read
             }
             Step::Write(document, revision) => {
                 let written = write(agent, &head, document, revision).await;
-                commit.wrote(agent.timer.now(), written)
+                commit.on_write(agent.timer.now(), written)
             }
-            Step::End(outcome) => return outcome,
+            Step::Finish(outcome) => return outcome,
         };
     }
 }
 
 /// Reads the head and what goes with it; `None` if that cannot be done now.
-async fn look(agent: &Agent, base: Version, head: &mut HeadRow) -> Option<Seen> {
+async fn look(agent: &Agent, base: Version, head: &mut HeadRow) -> Option<StoreState> {
     *head = agent.platform.head().await.ok()?;
     read_store(agent).await.ok()?;
     let document = agent.read(|k| k.held.document().clone());
@@ -55,7 +55,7 @@
     } else {
         None
     };
-    Some(Seen { document, next })
+    Some(StoreState { document, next })
 }
 
 /// Writes a revision; once accepted it is in force here and spreads.
@@ -64,12 +64,12 @@
     head: &HeadRow,
     document: Document,
     revision: Revision,
-) -> Written {
+) -> WriteResult {
     let written = agent.platform.commit(head, &revision).await;
-    if written != Written::Committed {
+    if written != WriteResult::Committed {
         return written;
     }
-    adopt(agent, News::Changes(vec![revision]));
+    adopt(agent, Update::Changes(vec![revision]));
     let agent = agent.clone();
     tokio::spawn(async move {
         if let Err(e) = agent.platform.keep_snapshot(&document).await {
--- a/crates/gooseberry-agent/src/shared.rs
+++ b/crates/gooseberry-agent/src/shared.rs
@@ -8,7 +8,7 @@
 use membership::own::Own;
 use membership::{Members, Policy};
 use peer::agent::View;
-use profiles::held::Held;
+use profiles::cache::ConfigCache;
 use settings::agent::Agent as Settings;
 use store::client::Platform;
 use store::wire::HostList;
@@ -24,7 +24,7 @@
 #[derive(Debug, Default)]
 pub struct Known {
     /// The configuration.
-    pub held: Held,
+    pub held: ConfigCache,
     /// The host list.
     pub hosts: HostList,
     /// What the engines hold in their caches.
--- a/crates/gooseberry-agent/src/spread.rs
+++ b/crates/gooseberry-agent/src/spread.rs
@@ -12,8 +12,8 @@
 use futures_util::future::{join, join_all};
 use peer::agent::{Ask, Changes};
 use peer::link::{AgentLink, LinkError};
-use profiles::held::News;
-use profiles::spread::{Part, part};
+use profiles::cache::Update;
+use profiles::topology::{Role, role};
 use store::wire::HostKind;
 use tokio::sync::watch;
 
@@ -152,18 +152,18 @@
         version: known.held.version(),
         is_fresh,
         news: if ask.is_brief {
-            News::Changes(Vec::new())
+            Update::Changes(Vec::new())
         } else {
-            known.held.since(ask.after)
+            known.held.updates_since(ask.after)
         },
     })
 }
 
 /// Takes news into force if they are newer than what is held.
-pub fn adopt(agent: &Agent, news: News) {
+pub fn adopt(agent: &Agent, news: Update) {
     let mut adopted = None;
     agent.change(|known| {
-        let is_newer = known.held.take(news);
+        let is_newer = known.held.apply(news);
         adopted = is_newer.then(|| known.held.version());
         is_newer
     });
@@ -245,7 +245,7 @@
 async fn changes(agent: &Agent) {
     let mut link = Link::default();
     loop {
-        let Part::Follow(links) = own_part(agent) else {
+        let Role::Follow(links) = own_part(agent) else {
             watch(agent).await;
             agent.timer.after(Millis(agent.settings.poll_ms)).await;
             continue;
@@ -266,7 +266,7 @@
 async fn versions(agent: &Agent) {
     let mut link = Link::default();
     loop {
-        let Part::Follow(links) = own_part(agent) else {
+        let Role::Follow(links) = own_part(agent) else {
             agent.timer.after(Millis(agent.settings.poll_ms)).await;
             continue;
         };
@@ -328,7 +328,7 @@
         };
         match link.changes(ask, wait.duration() + GRACE).await {
             Ok(mut changes) => {
-                let empty = News::Changes(Vec::new());
+                let empty = Update::Changes(Vec::new());
                 adopt(agent, std::mem::replace(&mut changes.news, empty));
                 Some(changes)
             }
@@ -349,7 +349,7 @@
 }
 
 /// The part of this agent among those of its data centre that are not left out.
-fn own_part(agent: &Agent) -> Part {
+fn own_part(agent: &Agent) -> Role {
     let now = agent.timer.now();
     let avoided = agent.spread.with(|i| {
         i.avoided.retain(|_, until| *until > now);
@@ -363,7 +363,7 @@
             .map(|h| h.name.as_str())
             .filter(|name| avoided.get(&(*name).to_owned()).is_none())
             .collect();
-        part(agent.settings.spread, agent.settings.host.as_str(), &live)
+        role(agent.settings.spread, agent.settings.host.as_str(), &live)
     })
 }
 
--- a/crates/gooseberry-agent/tests/config/spread.rs
+++ b/crates/gooseberry-agent/tests/config/spread.rs
@@ -3,11 +3,11 @@
 use crate::site::{Relay, Site, agent, get};
 use base::prelude::*;
 use hyper::StatusCode;
+use profiles::cache::{ConfigCache, Update};
 use profiles::change::{Change, Revision};
-use profiles::commit::Written;
+use profiles::commit::WriteResult;
 use profiles::document::Workspace;
-use profiles::held::{Held, News};
-use profiles::spread::{Part, Way, part};
+use profiles::topology::{Role, Topology, role};
 use serde_json::json;
 use std::time::Duration;
 use store::client::Platform;
@@ -43,7 +43,7 @@
     }
     let names: Vec<String> = (0..6).map(|i| format!("entry-{i}")).collect();
     let live: Vec<&str> = names.iter().map(String::as_str).collect();
-    let watches = |i: &usize| part(Way::Tree, live[*i], &live) == Part::Watch;
+    let watches = |i: &usize| role(Topology::Tree, live[*i], &live) == Role::Watch;
     let watchers: Vec<usize> = (0..6).filter(watches).collect();
     assert_eq!(watchers.len(), 2);
     for i in watchers.into_iter().rev() {
@@ -155,12 +155,15 @@
         addr: site.platform,
         limit: Duration::from_secs(5),
     };
-    let mut held = Held::default();
+    let mut held = ConfigCache::default();
     for version in 1..=300 {
         let revision = revision(version);
-        held.take(News::Changes(vec![revision.clone()]));
+        held.apply(Update::Changes(vec![revision.clone()]));
         let head = platform.head().await.expect("a head");
-        assert_eq!(platform.commit(&head, &revision).await, Written::Committed);
+        assert_eq!(
+            platform.commit(&head, &revision).await,
+            WriteResult::Committed
+        );
         let kept = platform.keep_snapshot(held.document()).await;
         kept.expect("a snapshot, if one is due");
     }
--- a/crates/gooseberry-bench/src/config.rs
+++ b/crates/gooseberry-bench/src/config.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use bpaf::Bpaf;
-use profiles::spread::Way;
+use profiles::topology::Topology;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use serde_json::{Value, json};
@@ -58,7 +58,7 @@
     changes: usize,
     /// One way of spreading only: poll, flat or tree.
     #[bpaf(long, argument("WAY"), optional)]
-    way: Option<Way>,
+    way: Option<Topology>,
     /// Print the report as JSON only.
     json: bool,
 }
@@ -68,7 +68,7 @@
     let programs = build::programs().await?;
     let ways = match options.way {
         Some(way) => vec![way],
-        None => vec![Way::Poll, Way::Flat, Way::Tree],
+        None => vec![Topology::Poll, Topology::Flat, Topology::Tree],
     };
     let mut reports = Vec::new();
     let mut is_within = true;
@@ -89,7 +89,7 @@
         "nodes": options.nodes,
         "centres": options.centres,
         "workspaces": WORKSPACES,
-        "default": Way::default(),
+        "default": Topology::default(),
         "ways": reports,
     });
     println!("{report:#}");
@@ -99,7 +99,7 @@
 async fn run_way(
     programs: &std::path::Path,
     options: &Options,
-    way: Way,
+    way: Topology,
 ) -> Result<Value, BenchError> {
     let mut random = StdRng::seed_from_u64(options.seed);
     let mut agents = Agents::start(programs, options.nodes, options.centres, way).await?;
--- a/crates/gooseberry-bench/src/config/agents.rs
+++ b/crates/gooseberry-bench/src/config/agents.rs
@@ -9,7 +9,7 @@
 use gooseberry_standin::platform as standin;
 use profiles::change::{Change, Revision, diff};
 use profiles::document::{Document, Workspace};
-use profiles::spread::{Part, Way, part};
+use profiles::topology::{Role, Topology, role};
 use rand::RngExt;
 use rand::rngs::StdRng;
 use serde_json::{Value, json};
@@ -77,7 +77,7 @@
         programs: &Path,
         nodes: usize,
         centres: usize,
-        way: Way,
+        way: Topology,
     ) -> Result<Self, BenchError> {
         let folder =
             std::env::temp_dir().join(format!("gooseberry-config-{}-{way}", std::process::id()));
@@ -179,7 +179,7 @@
     /// The agents that watch the platform when all are live, in the first data centre.
     fn watchers(&self) -> Vec<usize> {
         let names: Vec<&str> = self.all.iter().map(|a| a.name.as_str()).collect();
-        let is_watcher = |i: &usize| part(Way::Flat, names[*i], &names) == Part::Watch;
+        let is_watcher = |i: &usize| role(Topology::Flat, names[*i], &names) == Role::Watch;
         (0..names.len()).filter(is_watcher).collect()
     }
 
@@ -248,7 +248,7 @@
     }
 }
 
-fn settings(i: usize, centres: usize, way: Way, is_cut: bool) -> Settings {
+fn settings(i: usize, centres: usize, way: Topology, is_cut: bool) -> Settings {
     let value = json!({
         "host": format!("entry-{i}"),
         "data_centre": centre(i, centres),
@@ -261,7 +261,7 @@
         .unwrap_or_else(|_| unreachable!("the settings' other fields have defaults"))
 }
 
-fn host(i: usize, centres: usize, way: Way) -> Host {
+fn host(i: usize, centres: usize, way: Topology) -> Host {
     Host {
         name: format!("entry-{i}"),
         data_centre: centre(i, centres),
@@ -278,7 +278,7 @@
 }
 
 /// A loopback address of this run; runs at the same time have addresses of their own.
-fn address(way: Way, i: usize, port: u16) -> SocketAddr {
+fn address(way: Topology, i: usize, port: u16) -> SocketAddr {
     // The processes of the way before may not have ended yet.
     let run = std::process::id() * 3 + way as u32;
     let octet = |n: u32| u8::try_from(n).unwrap_or(u8::MAX);
--- a/crates/gooseberry-bench/src/harness/fleet.rs
+++ b/crates/gooseberry-bench/src/harness/fleet.rs
@@ -11,7 +11,7 @@
 use hyper::Method;
 use profiles::change::{Revision, diff};
 use profiles::document::Document;
-use profiles::spread::Way;
+use profiles::topology::Topology;
 use serde_json::Value;
 use settings::agent::{Agent, Listen as AgentListen};
 use settings::common::Log;
@@ -444,7 +444,7 @@
         poll_ms: 500,
         load_ms: 250,
         peers: Vec::new(),
-        spread: Way::default(),
+        spread: Topology::default(),
         operator_digest: Some(key_digest(OPERATOR)),
         log: log(),
         statsd: None,
--- a/crates/gooseberry-gateway/src/calls.rs
+++ b/crates/gooseberry-gateway/src/calls.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
 use hyper::Response;
-use platform::answer::{self, Head};
+use platform::response::{self, Head};
 use relay::{Next, Outcome, Tries};
 
 use crate::context::Context;
@@ -111,7 +111,7 @@
     let (parts, body) = answer.response.into_parts();
     let mut response = Response::new(reply::whole(body));
     *response.status_mut() = parts.status;
-    *response.headers_mut() = answer::forwarded(&parts.headers);
+    *response.headers_mut() = response::forward_headers(&parts.headers);
     job.ended(ctx, "answered", parts.status, Some(server));
     response
 }
--- a/crates/gooseberry-gateway/src/copies.rs
+++ b/crates/gooseberry-gateway/src/copies.rs
@@ -12,8 +12,8 @@
 use http_body_util::Full;
 use hyper::header::{CONTENT_TYPE, HeaderValue};
 use hyper::{Method, Request, Uri};
-use platform::copies::{self, CopyError};
-use platform::request::Copy;
+use platform::kv_copy::{self, CopyError};
+use platform::request::KvBackup;
 use thiserror::Error;
 use tokio_util::task::AbortOnDropHandle;
 
@@ -59,7 +59,7 @@
     /// The server, with the room that the copy takes.
     pub holder: Lease,
     /// What the copy is.
-    pub copy: Copy,
+    pub copy: KvBackup,
     /// Since when the server has held it.
     since: Millis,
 }
@@ -83,7 +83,7 @@
 impl Held {
     /// A copy that the engine of a run keeps up to date at `holder`.
     pub fn followed(holder: Lease, now: Millis) -> Self {
-        let copy = Copy::Followed {
+        let copy = KvBackup::Followed {
             holder: holder.addr,
         };
         Self {
@@ -213,8 +213,8 @@
         let held = lock(&self.held);
         let held = held.as_ref()?;
         let addr = match held.copy {
-            Copy::Followed { .. } => None,
-            Copy::Moved { .. } => Some(held.holder.addr),
+            KvBackup::Followed { .. } => None,
+            KvBackup::Moved { .. } => Some(held.holder.addr),
         };
         Some((held.holder.id.clone(), held.since, addr))
     }
@@ -261,8 +261,8 @@
         }
     }
 
-    fn moved(&self, handle: String) -> Copy {
-        Copy::Moved {
+    fn moved(&self, handle: String) -> KvBackup {
+        KvBackup::Moved {
             source: self.addr,
             handle,
         }
@@ -284,10 +284,10 @@
     async fn exchange(&self, to: SocketAddr) -> Result<String, CallError> {
         let opened = send::link(&self.ctx, &self.source, self.addr, CALL_LIMIT, "copy").await;
         let mut link = opened.map_err(|_| CallError::Unreachable)?;
-        let body = copies::body(&self.job.call.id, to);
+        let body = kv_copy::encode(&self.job.call.id, to);
         let mut request = Request::new(Full::new(Bytes::from(body)));
         *request.method_mut() = Method::POST;
-        *request.uri_mut() = Uri::from_static(copies::PATH);
+        *request.uri_mut() = Uri::from_static(kv_copy::PATH);
         let json = HeaderValue::from_static("application/json");
         request.headers_mut().insert(CONTENT_TYPE, json);
         let answer = link.fetch(request).await;
@@ -295,7 +295,7 @@
         self.ctx
             .servers
             .keep(&self.source, link, self.ctx.now(), None);
-        Ok(copies::decode(status, &body)?)
+        Ok(kv_copy::decode(status, &body)?)
     }
 }
 
--- a/crates/gooseberry-gateway/src/liveness.rs
+++ b/crates/gooseberry-gateway/src/liveness.rs
@@ -96,7 +96,7 @@
         return;
     };
     let snapshot = ctx.snapshot.load();
-    let only = snapshot.as_ref().and_then(|s| s.only_engine());
+    let only = snapshot.as_ref().and_then(|s| s.sole_engine_service());
     if only.is_none_or(|s| s.name != service) {
         return;
     }
@@ -108,9 +108,9 @@
         .servers
         .lock()
         .roster
-        .adopt(old, new, report.born)
+        .adopt(old, new, report.start_time)
         .into();
-    tracing::info!(server = %new, before = %old, born = report.born, change, "server met without a row");
+    tracing::info!(server = %new, before = %old, born = report.start_time, change, "server met without a row");
 }
 
 /// Waits until a server that gives no output is found to be gone.
--- a/crates/gooseberry-gateway/src/probe.rs
+++ b/crates/gooseberry-gateway/src/probe.rs
@@ -57,9 +57,9 @@
     // A report is some hundred milliseconds old; this host's own prompts may not be in it.
     let own = ctx.servers.prefill(id).div_ceil(prompt.max(1));
     Some(LoadReport {
-        waiting: report.waiting.max(own),
+        waiting: report.queued.max(own),
         running: report.running,
-        used: report.used,
+        used: report.kv_used,
     })
 }
 
--- a/crates/gooseberry-gateway/src/send.rs
+++ b/crates/gooseberry-gateway/src/send.rs
@@ -10,8 +10,8 @@
 use hyper::body::Incoming;
 use hyper::header::HeaderMap;
 use hyper::{Method, Request, Response, StatusCode, Uri};
-use platform::answer::{self, Head};
-use platform::request::{self, Copy, Send};
+use platform::request::{self, AttemptHeaders, KvBackup};
+use platform::response::{self, Head};
 use relay::{Next, Outcome, Tries};
 use routing::{Call, Plan};
 
@@ -55,7 +55,7 @@
     /// Where the run's memory is to be copied.
     pub copy_to: Option<SocketAddr>,
     /// Where a copy of an earlier run's memory lies.
-    pub copy: Option<&'a Copy>,
+    pub copy: Option<&'a KvBackup>,
 }
 
 /// The head of an answer that belongs to the request, and what it says.
@@ -103,15 +103,15 @@
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
         let mut headers = self.headers.clone();
-        let send = Send {
+        let attempt = AttemptHeaders {
             server: lease.id.as_str(),
             workspace: self.plan.workspace.as_ref().map(|w| w.name.as_str()),
-            left: self.left(now),
+            time_left: self.left(now),
             last_event: extra.last_event,
-            copy_to: extra.copy_to,
-            copy: extra.copy,
+            backup_to: extra.copy_to,
+            backup: extra.copy,
         };
-        request::encode(&mut headers, &self.call.id, &send);
+        request::encode(&mut headers, &self.call.id, &attempt);
         *request.headers_mut() = headers;
         request
     }
@@ -161,18 +161,18 @@
     };
     ctx.servers.heard(&lease.id, ctx.now());
     let (parts, body) = response.into_parts();
-    let head = answer::decode(&parts, &job.call.id);
+    let head = response::decode(&parts, &job.call.id);
     if head.is_foreign || head.is_encoded {
         return Err(Outcome::Broken);
     }
-    if let Some(new) = &head.instead {
+    if let Some(new) = &head.answered_by {
         // The rest of this answer must be read before the connection carries another request.
         if body.collect().await.is_ok() {
             liveness::adopt(ctx, &lease.id, new, &mut link).await;
         }
         return Err(Outcome::Moved);
     }
-    if head.is_unrun {
+    if head.is_unexecuted {
         return Err(Outcome::NotRun);
     }
     if head.status.is_success() && !head.is_sealed {
--- a/crates/gooseberry-gateway/src/serve.rs
+++ b/crates/gooseberry-gateway/src/serve.rs
@@ -13,7 +13,7 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
-use platform::{answer, request};
+use platform::{request, response};
 use routing::{Call, Denial, Plan};
 use tokio::net::{TcpListener, TcpStream};
 
@@ -93,12 +93,12 @@
     let mut response = match plan(&ctx, &head, &call) {
         Err(reason) => denied(&ctx, &call, reason),
         Ok((plan, body_bytes)) => {
-            let headers = request::forwarded(&head.headers);
+            let headers = request::forward_headers(&head.headers);
             match Limited::new(body, body_bytes).collect().await {
                 Err(error) => bad_body(&ctx, &id, error.is::<LengthLimitError>()),
                 Ok(whole) => {
                     let timeout = plan.route.timeout;
-                    let patience = call.patience.unwrap_or(timeout).min(timeout);
+                    let patience = call.time_limit.unwrap_or(timeout).min(timeout);
                     let job = Job {
                         until: since + patience,
                         since,
@@ -116,9 +116,9 @@
             }
         }
     };
-    answer::echo(response.headers_mut(), &id);
+    response::set_request_id(response.headers_mut(), &id);
     if ctx.stopped().is_some() {
-        answer::close(response.headers_mut());
+        response::set_close(response.headers_mut());
     }
     response
 }
--- a/crates/gooseberry-gateway/src/streams.rs
+++ b/crates/gooseberry-gateway/src/streams.rs
@@ -11,7 +11,7 @@
 use hyper::body::{Frame, Incoming};
 use hyper::header::HeaderMap;
 use hyper::{Response, StatusCode};
-use platform::answer::{self, Head};
+use platform::response::{self, Head};
 use relay::{Event, Next, Outcome, Progress, Splitter, Step, Tries};
 use routing::Kind;
 
@@ -202,7 +202,7 @@
             }
         });
         let mut response = Response::new(StreamBody::new(frames).boxed_unsync());
-        *response.headers_mut() = answer::forwarded(&headers);
+        *response.headers_mut() = response::forward_headers(&headers);
         response
     }
 
@@ -351,7 +351,7 @@
             avoid: &self.avoid,
             avoid_centre: None,
             prefer_centre: None,
-            content: self.job.call.prompt.and_then(|p| p.content),
+            content: self.job.call.size.and_then(|s| s.content_hash),
         };
         if self.memory.capacity == 0 {
             return self.ctx.servers.place(self.ctx.now(), &want);
@@ -454,11 +454,11 @@
     let Some(engine) = service.and_then(|s| s.engine) else {
         return Memory::default();
     };
-    let prompt = job.call.prompt.unwrap_or_default();
+    let size = job.call.size.unwrap_or_default();
     Memory {
-        capacity: engine.memory,
-        needed: prompt.memory(),
-        prompt: prompt.input,
-        copies: engine.copies && job.plan.route.kind == Kind::Resumable,
+        capacity: engine.kv_capacity,
+        needed: size.kv_tokens(),
+        prompt: size.input,
+        copies: engine.has_backups && job.plan.route.kind == Kind::Resumable,
     }
 }
--- a/crates/gooseberry-router/src/services/rules.rs
+++ b/crates/gooseberry-router/src/services/rules.rs
@@ -1,13 +1,13 @@
 //! Which calls may be repeated.
 
-use profiles::document::{RepeatRule, Service};
+use profiles::document::{RetryRule, Service};
 use service::client::Call;
 
 /// Whether the service declares that this call may be repeated.
 pub fn may_repeat(service: &Service, call: &Call) -> bool {
     let path = call.uri.path();
     let matches =
-        |rule: &RepeatRule| rule.method == call.method.as_str() && is_below(path, &rule.path);
+        |rule: &RetryRule| rule.method == call.method.as_str() && is_below(path, &rule.path);
     is_plain(path) && service.may_repeat.iter().any(matches)
 }
 
--- a/crates/peer/src/agent.rs
+++ b/crates/peer/src/agent.rs
@@ -4,8 +4,8 @@
 
 use base::prelude::*;
 use membership::Beat;
+use profiles::cache::Update;
 use profiles::document::Document;
-use profiles::held::News;
 use serde::{Deserialize, Serialize};
 
 /// An entry host, as an agent sees it.
@@ -85,7 +85,7 @@
     /// Whether it has heard lately, itself or through others, what the platform holds.
     pub is_fresh: bool,
     /// What the asker lacks.
-    pub news: News,
+    pub news: Update,
 }
 
 /// What an agent says of itself.
--- a/crates/profiles/src/held.rs
+++ b/crates/profiles/src/cache.rs
@@ -5,19 +5,20 @@
 use base::prelude::*;
 use serde::{Deserialize, Serialize};
 
-use crate::change::{Revision, edit};
+use crate::change::{Revision, apply};
 use crate::document::Document;
 
 /// The revisions that a node keeps for others.
-const KEPT: usize = 256;
+const MAX_REVISIONS: usize = 256;
 
 /// What a node that is behind is told.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum News {
+pub enum Update {
     /// The revisions that it lacks, in order; none if it lacks none.
     Changes(Vec<Revision>),
     /// The whole document, for a node that is too far behind.
-    Whole(Document),
+    #[serde(rename = "Whole")]
+    Full(Document),
 }
 
 /// The configuration that a node holds.
@@ -26,12 +27,12 @@
 ///
 /// The version never falls; the kept revisions are consecutive and end with it.
 #[derive(Clone, Debug, Default)]
-pub struct Held {
+pub struct ConfigCache {
     document: Document,
     revisions: VecDeque<Revision>,
 }
 
-impl Held {
+impl ConfigCache {
     /// The document; of version 0 if there is none.
     pub fn document(&self) -> &Document {
         &self.document
@@ -45,11 +46,11 @@
     /// Takes over what is newer; returns whether anything was.
     ///
     /// Revisions that do not follow on the held version are left alone.
-    pub fn take(&mut self, news: News) -> bool {
+    pub fn apply(&mut self, update: Update) -> bool {
         let before = self.version();
-        match news {
-            News::Whole(document) => self.replace(document),
-            News::Changes(revisions) => {
+        match update {
+            Update::Full(document) => self.replace(document),
+            Update::Changes(revisions) => {
                 for revision in revisions {
                     self.advance(revision);
                 }
@@ -59,17 +60,17 @@
     }
 
     /// What a node lacks that holds `after`.
-    pub fn since(&self, after: Version) -> News {
+    pub fn updates_since(&self, after: Version) -> Update {
         if after >= self.version() {
-            return News::Changes(Vec::new());
+            return Update::Changes(Vec::new());
         }
         let lacking = self.version().0 - after.0;
         let kept = self.revisions.len();
         match usize::try_from(lacking) {
             Ok(lacking) if lacking <= kept => {
-                News::Changes(self.revisions.range(kept - lacking..).cloned().collect())
+                Update::Changes(self.revisions.range(kept - lacking..).cloned().collect())
             }
-            _ => News::Whole(self.document.clone()),
+            _ => Update::Full(self.document.clone()),
         }
     }
 
@@ -86,10 +87,10 @@
             return;
         }
         for change in &revision.changes {
-            edit(&mut self.document, change);
+            apply(&mut self.document, change);
         }
         self.document.version = revision.version;
-        if self.revisions.len() == KEPT {
+        if self.revisions.len() == MAX_REVISIONS {
             self.revisions.pop_front();
         }
         self.revisions.push_back(revision);
--- a/crates/profiles/src/change.rs
+++ b/crates/profiles/src/change.rs
@@ -106,7 +106,7 @@
     }
     let mut next = document.clone();
     for change in &proposal.changes {
-        if !edit(&mut next, change) {
+        if !apply(&mut next, change) {
             let entry = describe(change);
             return Err(Refusal::Absent { entry });
         }
@@ -159,14 +159,14 @@
 }
 
 /// Carries a change out; returns whether it made sense.
-pub(crate) fn edit(document: &mut Document, change: &Change) -> bool {
+pub(crate) fn apply(document: &mut Document, change: &Change) -> bool {
     match change {
         Change::PutProfile(new) => put(&mut document.profiles, new, |p| &p.name),
         Change::PutService(new) => put(&mut document.services, new, |s| &s.name),
         Change::PutWorkspace(new) => put(&mut document.workspaces, new, |w| &w.name),
-        Change::RetireProfile(name) => take(&mut document.profiles, name, |p| &p.name),
-        Change::RetireService(name) => take(&mut document.services, name, |s| &s.name),
-        Change::RetireWorkspace(name) => take(&mut document.workspaces, name, |w| &w.name),
+        Change::RetireProfile(name) => remove(&mut document.profiles, name, |p| &p.name),
+        Change::RetireService(name) => remove(&mut document.services, name, |s| &s.name),
+        Change::RetireWorkspace(name) => remove(&mut document.workspaces, name, |w| &w.name),
     }
 }
 
@@ -218,7 +218,7 @@
     true
 }
 
-fn take<T, K: Ord>(entries: &mut Vec<T>, old: &K, name: impl Fn(&T) -> &K) -> bool {
+fn remove<T, K: Ord>(entries: &mut Vec<T>, old: &K, name: impl Fn(&T) -> &K) -> bool {
     let found = entries.binary_search_by(|e| name(e).cmp(old));
     if let Ok(i) = found {
         entries.remove(i);
--- a/crates/profiles/src/commit.rs
+++ b/crates/profiles/src/commit.rs
@@ -12,7 +12,7 @@
 
 /// What the store holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct StoreState {
     /// The accepted document; of version 0 if there is none.
     pub document: Document,
     /// The revision that follows on the proposal's base, if there is one.
@@ -21,7 +21,7 @@
 
 /// How a write ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Written {
+pub enum WriteResult {
     /// It took effect.
     Committed,
     /// It had no effect, since the head had changed.
@@ -29,20 +29,20 @@
     /// It was not sent.
     Unsent,
     /// It may have taken effect, now or later.
-    Lost,
+    Unanswered,
 }
 
 /// What to do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Read the store and report [`Seen`].
-    Look,
+    /// Read the store and report [`StoreState`].
+    Read,
     /// Read the store after a pause.
-    LookLater,
+    ReadLater,
     /// Write this revision and its head, if the head is the one that was read.
     Write(Document, Revision),
     /// Nothing more.
-    End(Outcome),
+    Finish(Outcome),
 }
 
 /// How a proposal ended.
@@ -77,7 +77,7 @@
 }
 
 impl Commit {
-    /// A proposal that is given up at `deadline`; the first step is [`Step::Look`].
+    /// A proposal that is given up at `deadline`; the first step is [`Step::Read`].
     pub fn new(proposal: Proposal, deadline: Millis) -> Self {
         Self {
             proposal,
@@ -87,47 +87,47 @@
     }
 
     /// The store was read, or could not be.
-    pub fn looked(&mut self, now: Millis, seen: Option<&Seen>) -> Step {
+    pub fn on_read(&mut self, now: Millis, seen: Option<&StoreState>) -> Step {
         let Some(seen) = seen else {
-            return self.again(now);
+            return self.retry_or_finish(now);
         };
         let own = |r: &&Revision| r.operation == self.proposal.operation;
         if let Some(revision) = seen.next.as_ref().filter(own) {
             let version = revision.version;
-            return Step::End(Outcome::Accepted { version });
+            return Step::Finish(Outcome::Accepted { version });
         }
         match propose(&seen.document, &self.proposal) {
             Ok((document, revision)) => Step::Write(document, revision),
-            Err(refusal) => Step::End(Outcome::Refused { refusal }),
+            Err(refusal) => Step::Finish(Outcome::Refused { refusal }),
         }
     }
 
     /// The write ended.
-    pub fn wrote(&mut self, now: Millis, written: Written) -> Step {
+    pub fn on_write(&mut self, now: Millis, written: WriteResult) -> Step {
         match written {
-            Written::Committed => {
+            WriteResult::Committed => {
                 let version = self.proposal.base.next();
-                Step::End(Outcome::Accepted { version })
+                Step::Finish(Outcome::Accepted { version })
             }
             // Its own earlier write may be what changed the head.
-            Written::Conflict => Step::Look,
-            Written::Unsent => self.again(now),
-            Written::Lost => {
+            WriteResult::Conflict => Step::Read,
+            WriteResult::Unsent => self.retry_or_finish(now),
+            WriteResult::Unanswered => {
                 self.is_sent = true;
-                self.again(now)
+                self.retry_or_finish(now)
             }
         }
     }
 
     /// Looks again, unless the time is up.
-    fn again(&self, now: Millis) -> Step {
+    fn retry_or_finish(&self, now: Millis) -> Step {
         if now < self.deadline {
-            return Step::LookLater;
+            return Step::ReadLater;
         }
         if !self.is_sent {
-            return Step::End(Outcome::Unavailable);
+            return Step::Finish(Outcome::Unavailable);
         }
         let operation = self.proposal.operation.clone();
-        Step::End(Outcome::Unknown { operation })
+        Step::Finish(Outcome::Unknown { operation })
     }
 }
--- a/crates/profiles/src/document.rs
+++ b/crates/profiles/src/document.rs
@@ -141,7 +141,7 @@
     pub checks_fence: bool,
     /// The calls that may be repeated; all others run at most once.
     #[serde(default)]
-    pub may_repeat: Vec<RepeatRule>,
+    pub may_repeat: Vec<RetryRule>,
     /// How long the outcome of a call that may not repeat is kept, in milliseconds.
     #[serde(default = "default_retain_ms")]
     pub retain_ms: u64,
@@ -155,7 +155,7 @@
 /// Calls of a plain service that may be repeated.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct RepeatRule {
+pub struct RetryRule {
     /// The HTTP method, in capitals.
     pub method: String,
     /// What the path starts with, counted from behind the service's name.
--- a/crates/profiles/src/lib.rs
+++ b/crates/profiles/src/lib.rs
@@ -3,9 +3,9 @@
 //! Pure: documents and changes come in, new documents, conflicts and errors go out. The crate knows
 //! nothing of where documents are kept or how they travel.
 
+pub mod cache;
 pub mod change;
 pub mod check;
 pub mod commit;
 pub mod document;
-pub mod held;
-pub mod spread;
+pub mod topology;
--- a/crates/profiles/src/spread.rs
+++ b/crates/profiles/src/topology.rs
@@ -33,7 +33,7 @@
 )]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
-pub enum Way {
+pub enum Topology {
     /// All nodes watch the store.
     Poll,
     /// All nodes follow the watchers.
@@ -45,7 +45,7 @@
 
 /// The part of one node.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Part {
+pub enum Role {
     /// It watches the store.
     Watch,
     /// It follows these nodes, the first one for changes and the second for their versions.
@@ -53,18 +53,18 @@
 }
 
 /// The part of `own` among the `live` nodes of its data centre.
-pub fn part(way: Way, own: &str, live: &[&str]) -> Part {
+pub fn role(topology: Topology, own: &str, live: &[&str]) -> Role {
     let before = ahead(own, live);
     let place = before.len();
-    if way == Way::Poll || place < WATCHERS {
-        return Part::Watch;
+    if topology == Topology::Poll || place < WATCHERS {
+        return Role::Watch;
     }
-    let (first, second) = match way {
-        Way::Tree => tree_links(place),
+    let (first, second) = match topology {
+        Topology::Tree => tree_links(place),
         // Half of the nodes follow each of the watchers.
         _ => (place % WATCHERS, (place + 1) % WATCHERS),
     };
-    Part::Follow(vec![before[first].to_owned(), before[second].to_owned()])
+    Role::Follow(vec![before[first].to_owned(), before[second].to_owned()])
 }
 
 /// The places that the node at `place` follows; the second leads to another subtree.
--- a/crates/profiles/tests/held.rs
+++ b/crates/profiles/tests/cache.rs
@@ -1,16 +1,16 @@
 //! Nodes only move to higher versions, whatever reaches them in whatever order.
 
 use base::prelude::*;
+use profiles::cache::{ConfigCache, Update};
 use profiles::change::{Change, Proposal, propose};
 use profiles::document::{Document, Workspace};
-use profiles::held::{Held, News};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
 /// The accepted documents up to version `count`, and a node that holds them all.
-fn accepted(count: u64) -> (Vec<Document>, Held) {
+fn accepted(count: u64) -> (Vec<Document>, ConfigCache) {
     let mut documents = vec![Document::default()];
-    let mut held = Held::default();
+    let mut held = ConfigCache::default();
     for i in 0..count {
         let workspace = Workspace {
             name: WorkspaceName(format!("w-{}", i % 3)),
@@ -24,7 +24,7 @@
             changes: vec![Change::PutWorkspace(workspace)],
         };
         let (document, revision) = propose(held.document(), &proposal).expect("a valid change");
-        held.take(News::Changes(vec![revision]));
+        held.apply(Update::Changes(vec![revision]));
         documents.push(document);
     }
     (documents, held)
@@ -39,31 +39,31 @@
     })]
 
     #[test]
-    fn never_falls(news in prop::collection::vec((any::<bool>(), 0..12_usize, 0..12_u64), 0..30)) {
+    fn versions_only_increase(news in prop::collection::vec((any::<bool>(), 0..12_usize, 0..12_u64), 0..30)) {
         let (documents, source) = accepted(11);
-        let mut node = Held::default();
-        for (is_whole, version, after) in news {
+        let mut node = ConfigCache::default();
+        for (is_full, version, after) in news {
             let before = node.version();
-            let one = if is_whole {
-                News::Whole(documents[version].clone())
+            let one = if is_full {
+                Update::Full(documents[version].clone())
             } else {
-                source.since(Version(after))
+                source.updates_since(Version(after))
             };
-            node.take(one);
+            node.apply(one);
             prop_assert!(node.version() >= before);
             let number = usize::try_from(node.version().0).expect("a small number");
             prop_assert_eq!(node.document(), &documents[number]);
         }
-        node.take(source.since(node.version()));
+        node.apply(source.updates_since(node.version()));
         prop_assert_eq!(node.document(), source.document());
     }
 }
 
 #[test]
-fn whole_when_far_behind() {
+fn full_update_when_far_behind() {
     let (_, source) = accepted(300);
-    assert!(matches!(source.since(Version(0)), News::Whole(_)));
-    let News::Changes(revisions) = source.since(Version(298)) else {
+    assert!(matches!(source.updates_since(Version(0)), Update::Full(_)));
+    let Update::Changes(revisions) = source.updates_since(Version(298)) else {
         panic!("two revisions are kept");
     };
     assert_eq!(revisions.len(), 2);
--- a/crates/profiles/tests/commit.rs
+++ b/crates/profiles/tests/commit.rs
@@ -3,7 +3,7 @@
 
 use base::prelude::*;
 use profiles::change::{Change, Proposal, Revision};
-use profiles::commit::{Commit, Outcome, Seen, Step, Written};
+use profiles::commit::{Commit, Outcome, Step, StoreState, WriteResult};
 use profiles::document::{Document, Workspace};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -17,9 +17,9 @@
 }
 
 impl Store {
-    fn seen(&self, base: Version) -> Seen {
+    fn seen(&self, base: Version) -> StoreState {
         let next = self.revisions.iter().find(|r| r.version == base.next());
-        Seen {
+        StoreState {
             document: self.document.clone(),
             next: next.cloned(),
         }
@@ -67,35 +67,35 @@
             base,
             operation,
             commit: Commit::new(proposal, Millis(20)),
-            step: Step::Look,
+            step: Step::Read,
         }
     }
 
     /// Carries out one step; `fault` decides what becomes of it.
     fn run(&mut self, now: Millis, store: &mut Store, fault: u8) {
-        let step = std::mem::replace(&mut self.step, Step::Look);
+        let step = std::mem::replace(&mut self.step, Step::Read);
         self.step = match step {
-            Step::Look | Step::LookLater => {
+            Step::Read | Step::ReadLater => {
                 let seen = (fault != 0).then(|| store.seen(self.base));
-                self.commit.looked(now, seen.as_ref())
+                self.commit.on_read(now, seen.as_ref())
             }
             Step::Write(document, revision) => {
                 let written = match fault {
-                    0 => Written::Unsent,
+                    0 => WriteResult::Unsent,
                     1 => {
                         store.late.push((self.base, document, revision));
-                        Written::Lost
+                        WriteResult::Unanswered
                     }
                     2 => {
                         store.write(self.base, document, revision);
-                        Written::Lost
+                        WriteResult::Unanswered
                     }
-                    _ if store.write(self.base, document, revision) => Written::Committed,
-                    _ => Written::Conflict,
+                    _ if store.write(self.base, document, revision) => WriteResult::Committed,
+                    _ => WriteResult::Conflict,
                 };
-                self.commit.wrote(now, written)
+                self.commit.on_write(now, written)
             }
-            end @ Step::End(_) => end,
+            end @ Step::Finish(_) => end,
         };
     }
 }
@@ -119,7 +119,7 @@
             operators[who].run(Millis(now), &mut store, fault);
         }
         for one in &mut operators {
-            while !matches!(one.step, Step::End(_)) {
+            while !matches!(one.step, Step::Finish(_)) {
                 one.run(Millis(1_000), &mut store, 0);
             }
         }
@@ -128,8 +128,8 @@
         for one in &operators {
             let is_in = store.revisions.iter().any(|r| r.operation == one.operation);
             match &one.step {
-                Step::End(Outcome::Accepted { .. }) => prop_assert!(is_in),
-                Step::End(Outcome::Refused { .. } | Outcome::Unavailable) => prop_assert!(!is_in),
+                Step::Finish(Outcome::Accepted { .. }) => prop_assert!(is_in),
+                Step::Finish(Outcome::Refused { .. } | Outcome::Unavailable) => prop_assert!(!is_in),
                 _ => {}
             }
         }
@@ -145,7 +145,7 @@
         one.run(Millis(0), &mut store, fault);
     }
     let version = Version(1);
-    assert_eq!(one.step, Step::End(Outcome::Accepted { version }));
+    assert_eq!(one.step, Step::Finish(Outcome::Accepted { version }));
 }
 
 #[test]
@@ -156,5 +156,5 @@
         one.run(Millis(now), &mut store, fault);
     }
     let operation = one.operation.clone();
-    assert_eq!(one.step, Step::End(Outcome::Unknown { operation }));
+    assert_eq!(one.step, Step::Finish(Outcome::Unknown { operation }));
 }
--- a/crates/profiles/tests/spread.rs
+++ b/crates/profiles/tests/topology.rs
@@ -1,6 +1,6 @@
 //! Who watches the store and who follows whom.
 
-use profiles::spread::{Part, WATCHERS, Way, part};
+use profiles::topology::{Role, Topology, WATCHERS, role};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
@@ -19,24 +19,24 @@
     /// News reaches every node over the links of any live set, also with any one node frozen.
     #[test]
     fn reaches_all(count in 1..40_usize, frozen in 0..40_usize, is_tree in any::<bool>()) {
-        let way = if is_tree { Way::Tree } else { Way::Flat };
+        let topology = if is_tree { Topology::Tree } else { Topology::Flat };
         let all = names(count);
         let live: Vec<&str> = all.iter().map(String::as_str).collect();
-        let parts: Vec<Part> = live.iter().map(|own| part(way, own, &live)).collect();
-        let watchers = parts.iter().filter(|p| **p == Part::Watch).count();
+        let roles: Vec<Role> = live.iter().map(|own| role(topology, own, &live)).collect();
+        let watchers = roles.iter().filter(|p| **p == Role::Watch).count();
         prop_assert_eq!(watchers, count.min(WATCHERS));
-        let mut knows: Vec<bool> = (0..count)
-            .map(|i| i != frozen && parts[i] == Part::Watch)
+        let mut has_update: Vec<bool> = (0..count)
+            .map(|i| i != frozen && roles[i] == Role::Watch)
             .collect();
         for _ in 0..count {
             for i in 0..count {
-                let Part::Follow(links) = &parts[i] else { continue };
-                let is_told = |l: &String| all.iter().position(|n| n == l).is_some_and(|j| knows[j]);
-                knows[i] |= i != frozen && links.iter().any(is_told);
+                let Role::Follow(links) = &roles[i] else { continue };
+                let is_updated = |l: &String| all.iter().position(|n| n == l).is_some_and(|j| has_update[j]);
+                has_update[i] |= i != frozen && links.iter().any(is_updated);
             }
         }
         for i in (0..count).filter(|i| *i != frozen && count > 1) {
-            prop_assert!(knows[i], "{} of {count} with {frozen} frozen", i);
+            prop_assert!(has_update[i], "{} of {count} with {frozen} frozen", i);
         }
     }
 }
@@ -47,6 +47,6 @@
     let live: Vec<&str> = all.iter().map(String::as_str).collect();
     assert!(
         live.iter()
-            .all(|own| part(Way::Poll, own, &live) == Part::Watch)
+            .all(|own| role(Topology::Poll, own, &live) == Role::Watch)
     );
 }
--- a/crates/relay/src/outcome.rs
+++ b/crates/relay/src/outcome.rs
@@ -86,7 +86,7 @@
             }
             Outcome::Failed | Outcome::Broken | Outcome::Silent => {
                 self.ran += 1;
-                if kind.may_repeat() && self.ran < attempts {
+                if kind.may_retry() && self.ran < attempts {
                     Next::Repeat
                 } else {
                     self.unrepeated(outcome)
--- a/crates/routing/src/call.rs
+++ b/crates/routing/src/call.rs
@@ -10,20 +10,20 @@
 
 /// The size of a generation, as the caller declares it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Prompt {
+pub struct GenerationSize {
     /// The tokens of the prompt.
     pub input: u64,
     /// The most tokens of output.
     pub output: u64,
     /// The caller's estimate of the output in tokens; often far off.
-    pub estimate: Option<u64>,
+    pub output_estimate: Option<u64>,
     /// A hash of the part of the prompt that is the request's own; a repeat of the request has the same.
-    pub content: Option<u64>,
+    pub content_hash: Option<u64>,
 }
 
-impl Prompt {
+impl GenerationSize {
     /// The tokens of memory that the generation is expected to need.
-    pub fn memory(&self) -> u64 {
+    pub fn kv_tokens(&self) -> u64 {
         self.input + self.output
     }
 }
@@ -38,13 +38,13 @@
     /// The path, without the query.
     pub path: String,
     /// How long the caller waits for the whole answer.
-    pub patience: Option<Millis>,
+    pub time_limit: Option<Millis>,
     /// The key of the caller.
     pub key: Option<String>,
     /// The number of the last event that the caller holds, if it continues a stream.
     pub last_event: Option<u64>,
     /// The size of the generation, if it is one.
-    pub prompt: Option<Prompt>,
+    pub size: Option<GenerationSize>,
 }
 
 /// Why the configuration does not allow a request.
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -6,5 +6,5 @@
 pub mod call;
 pub mod snapshot;
 
-pub use call::{Call, Denial, Plan, Prompt};
+pub use call::{Call, Denial, GenerationSize, Plan};
 pub use snapshot::{Engine, Kind, Limits, Route, Service, Snapshot, Target, Workspace};
--- a/crates/routing/src/snapshot.rs
+++ b/crates/routing/src/snapshot.rs
@@ -21,7 +21,7 @@
 
 impl Kind {
     /// Whether a request may be sent again after it may have run.
-    pub fn may_repeat(self) -> bool {
+    pub fn may_retry(self) -> bool {
         matches!(self, Self::Idempotent | Self::Resumable)
     }
 
@@ -71,11 +71,11 @@
     /// The requests that an engine runs at once.
     pub slots: u64,
     /// The tokens that its memory holds.
-    pub memory: u64,
+    pub kv_capacity: u64,
     /// The tokens in one event of a stream.
     pub stride: u64,
     /// Whether it copies the memory of a running request to another engine.
-    pub copies: bool,
+    pub has_backups: bool,
 }
 
 /// A service.
@@ -186,7 +186,7 @@
     }
 
     /// The service that has engines, if there is exactly one.
-    pub fn only_engine(&self) -> Option<&Service> {
+    pub fn sole_engine_service(&self) -> Option<&Service> {
         let mut engines = self.services.iter().filter(|s| s.engine.is_some());
         let first = engines.next()?;
         engines.next().is_none().then_some(first)
--- a/crates/settings/src/agent.rs
+++ b/crates/settings/src/agent.rs
@@ -4,11 +4,11 @@
 
 use base::prelude::*;
 use profiles::check::Fault;
-use profiles::spread::Way;
+use profiles::topology::Topology;
 use serde::{Deserialize, Serialize};
 
 use crate::common::{Log, address_fault, name_fault};
-use crate::load::Checked;
+use crate::load::Validate;
 use crate::router::default_platform_ms;
 
 /// The settings of an agent.
@@ -37,7 +37,7 @@
     pub peers: Vec<SocketAddr>,
     /// How new versions of the configuration spread within the data centre.
     #[serde(default)]
-    pub spread: Way,
+    pub spread: Topology,
     /// The digest of the operators' key, see [`base::hash::key_digest`]; without one no operator is
     /// admitted.
     #[serde(default)]
@@ -70,7 +70,7 @@
     250
 }
 
-impl Checked for Agent {
+impl Validate for Agent {
     fn faults(&self) -> Vec<Fault> {
         let mut faults = Vec::new();
         faults.extend(name_fault("host", self.host.as_str()));
--- a/crates/settings/src/gateway.rs
+++ b/crates/settings/src/gateway.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::common::{Level, address_fault, name_fault};
-use crate::load::Checked;
+use crate::load::Validate;
 
 /// The settings of a gateway.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -63,7 +63,7 @@
     Level::Info
 }
 
-impl Checked for Gateway {
+impl Validate for Gateway {
     fn faults(&self) -> Vec<Fault> {
         let mut faults = Vec::new();
         faults.extend(name_fault("host", self.host.as_str()));
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -8,4 +8,4 @@
 pub mod load;
 pub mod router;
 
-pub use load::{Checked, SettingsError, load};
+pub use load::{SettingsError, Validate, load};
--- a/crates/settings/src/load.rs
+++ b/crates/settings/src/load.rs
@@ -53,7 +53,7 @@
 }
 
 /// Settings that can be checked as a whole.
-pub trait Checked {
+pub trait Validate {
     /// All faults; none if the settings may be used.
     fn faults(&self) -> Vec<Fault>;
 }
@@ -63,7 +63,7 @@
 /// # Errors
 ///
 /// Any [`SettingsError`].
-pub fn load<T: DeserializeOwned + Checked>(file: &Path) -> Result<T, SettingsError> {
+pub fn load<T: DeserializeOwned + Validate>(file: &Path) -> Result<T, SettingsError> {
     let settings: T = read(file)?;
     match settings.faults().into_iter().next() {
         None => Ok(settings),
--- a/crates/settings/src/router.rs
+++ b/crates/settings/src/router.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::common::{Log, address_fault, name_fault};
-use crate::load::Checked;
+use crate::load::Validate;
 
 /// The settings of a router.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -71,7 +71,7 @@
     10 * 60 * 1_000
 }
 
-impl Checked for Router {
+impl Validate for Router {
     fn faults(&self) -> Vec<Fault> {
         let mut faults = Vec::new();
         faults.extend(name_fault("host", self.host.as_str()));
--- a/crates/store/src/config.rs
+++ b/crates/store/src/config.rs
@@ -6,10 +6,10 @@
 //! behind it are dropped.
 
 use base::prelude::*;
+use profiles::cache::Update;
 use profiles::change::Revision;
-use profiles::commit::Written;
+use profiles::commit::WriteResult;
 use profiles::document::Document;
-use profiles::held::News;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -89,15 +89,15 @@
     /// # Errors
     ///
     /// Any [`CallError`].
-    pub async fn news(&self, after: Version, head: Version) -> Result<News, CallError> {
+    pub async fn news(&self, after: Version, head: Version) -> Result<Update, CallError> {
         if head.0 > after.0 + BATCH
             && let Some(document) = self.snapshot().await?
             && document.version > after
         {
-            return Ok(News::Whole(document));
+            return Ok(Update::Full(document));
         }
         let last = head.0.min(after.0 + BATCH);
-        self.revisions(after.0 + 1, last).await.map(News::Changes)
+        self.revisions(after.0 + 1, last).await.map(Update::Changes)
     }
 
     /// Reads the kept revisions from `first` to `last`, the latest 256 of them at most.
@@ -116,12 +116,12 @@
     }
 
     /// Makes `revision` the accepted version if the head is still `head`.
-    pub async fn commit(&self, head: &HeadRow, revision: &Revision) -> Written {
+    pub async fn commit(&self, head: &HeadRow, revision: &Revision) -> WriteResult {
         match self.transact(&commit_ops(head, revision)).await {
-            Ok(Outcome::Committed(_)) => Written::Committed,
-            Ok(Outcome::Conflict(_)) => Written::Conflict,
-            Err(e) if e.is_unsent() => Written::Unsent,
-            Err(_) => Written::Lost,
+            Ok(Outcome::Committed(_)) => WriteResult::Committed,
+            Ok(Outcome::Conflict(_)) => WriteResult::Conflict,
+            Err(e) if e.is_unsent() => WriteResult::Unsent,
+            Err(_) => WriteResult::Unanswered,
         }
     }
 
--- a/crates/telemetry/src/daemon.rs
+++ b/crates/telemetry/src/daemon.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 
 use serde::de::DeserializeOwned;
-use settings::Checked;
+use settings::Validate;
 use settings::common::Log;
 
 /// Reads and checks the settings and sets the logger.
@@ -13,7 +13,7 @@
 /// # Errors
 ///
 /// The exit code if the process is to end here: the settings are wrong, or were only to be checked.
-pub fn prepare<T: DeserializeOwned + Checked>(
+pub fn prepare<T: DeserializeOwned + Validate>(
     program: &str,
     file: &Path,
     is_check: bool,
@@ -29,7 +29,7 @@
 /// # Errors
 ///
 /// The exit code if the process is to end here: the settings are wrong, or were only to be checked.
-pub fn read<T: DeserializeOwned + Checked>(
+pub fn read<T: DeserializeOwned + Validate>(
     program: &str,
     file: &Path,
     is_check: bool,
