--- a/crates/gooseberry-agent/src/spread.rs
+++ b/crates/gooseberry-agent/src/spread.rs
@@ -154,7 +154,7 @@
         news: if ask.is_brief {
             Update::Changes(Vec::new())
         } else {
-            known.held.updates_since(ask.after)
+            known.held.update_since(ask.after)
         },
     })
 }
--- a/crates/profiles/src/cache.rs
+++ b/crates/profiles/src/cache.rs
@@ -1,4 +1,4 @@
-//! The configuration that a node holds, and the latest revisions for nodes that are behind.
+//! An agent's copy of the configuration, with the latest revisions for agents that lag behind.
 
 use std::collections::VecDeque;
 
@@ -8,24 +8,24 @@
 use crate::change::{Revision, apply};
 use crate::document::Document;
 
-/// The revisions that a node keeps for others.
+/// Number of revisions that an agent keeps for others; further back it sends the full document.
 const MAX_REVISIONS: usize = 256;
 
-/// What a node that is behind is told.
+/// An update for an agent that lags behind.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Update {
-    /// The revisions that it lacks, in order; none if it lacks none.
+    /// The revisions that it lacks, in order; empty if it is up to date.
     Changes(Vec<Revision>),
-    /// The whole document, for a node that is too far behind.
+    /// The full document, if some of the missing revisions are no longer kept.
     #[serde(rename = "Whole")]
     Full(Document),
 }
 
-/// The configuration that a node holds.
+/// An agent's copy of the configuration.
 ///
 /// # Invariants
 ///
-/// The version never falls; the kept revisions are consecutive and end with it.
+/// The version never decreases; the kept revisions are consecutive and end with it.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigCache {
     document: Document,
@@ -33,19 +33,20 @@
 }
 
 impl ConfigCache {
-    /// The document; of version 0 if there is none.
+    /// The current document; an empty one of version 0 until the first update.
     pub fn document(&self) -> &Document {
         &self.document
     }
 
-    /// The version; 0 if there is none.
+    /// The current version; 0 until the first update.
     pub fn version(&self) -> Version {
         self.document.version
     }
 
-    /// Takes over what is newer; returns whether anything was.
+    /// Applies an update; returns whether the version increased.
     ///
-    /// Revisions that do not follow on the held version are left alone.
+    /// Documents that are not newer and revisions that do not directly follow the current version are
+    /// ignored.
     pub fn apply(&mut self, update: Update) -> bool {
         let before = self.version();
         match update {
@@ -59,16 +60,16 @@
         self.version() > before
     }
 
-    /// What a node lacks that holds `after`.
-    pub fn updates_since(&self, after: Version) -> Update {
+    /// The update that brings an agent from version `after` to the current one.
+    pub fn update_since(&self, after: Version) -> Update {
         if after >= self.version() {
             return Update::Changes(Vec::new());
         }
-        let lacking = self.version().0 - after.0;
+        let missing = self.version().0 - after.0;
         let kept = self.revisions.len();
-        match usize::try_from(lacking) {
-            Ok(lacking) if lacking <= kept => {
-                Update::Changes(self.revisions.range(kept - lacking..).cloned().collect())
+        match usize::try_from(missing) {
+            Ok(missing) if missing <= kept => {
+                Update::Changes(self.revisions.range(kept - missing..).cloned().collect())
             }
             _ => Update::Full(self.document.clone()),
         }
--- a/crates/profiles/src/change.rs
+++ b/crates/profiles/src/change.rs
@@ -1,4 +1,4 @@
-//! Typed changes of a document, and the versions that they make.
+//! Changes to the document, proposed by operators and accepted as numbered revisions.
 
 use base::prelude::*;
 use serde::{Deserialize, Serialize};
@@ -7,31 +7,31 @@
 use crate::check::{Fault, check};
 use crate::document::{Document, Profile, Service, Workspace};
 
-/// One change of a document.
+/// A change to one entry of a document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Change {
     /// Adds a profile or replaces it.
     PutProfile(Profile),
-    /// Takes a profile away.
+    /// Removes a profile.
     RetireProfile(ProfileName),
     /// Adds a service or replaces it.
     PutService(Service),
-    /// Takes a service away.
+    /// Removes a service.
     RetireService(ServiceName),
     /// Adds a workspace or replaces it.
     PutWorkspace(Workspace),
-    /// Takes a workspace away.
+    /// Removes a workspace.
     RetireWorkspace(WorkspaceName),
 }
 
-/// What an operator asks for.
+/// Changes proposed by an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Proposal {
     /// The version on which the changes are based.
     pub base: Version,
-    /// The identity of this attempt.
+    /// Unique id by which a retried proposal is recognized.
     pub operation: OperationId,
     /// The changes, in order.
     pub changes: Vec<Change>,
@@ -40,19 +40,19 @@
 /// An accepted proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Revision {
-    /// The version that the changes made.
+    /// The version after the changes.
     pub version: Version,
-    /// The attempt that was accepted.
+    /// The accepted proposal's id.
     pub operation: OperationId,
     /// The changes, in order.
     pub changes: Vec<Change>,
 }
 
-/// Why a proposal is not accepted.
+/// The reason why a proposal is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Refusal {
-    /// Another proposal was accepted since.
+    /// Another proposal was accepted in the meantime.
     #[error(
         "the changes are based on version {base}, but version {head} is accepted; \
          look at the difference and apply again with base {head}"
@@ -63,18 +63,18 @@
         /// The accepted version.
         head: Version,
     },
-    /// A service still runs under a profile that is to be retired.
+    /// A service still refers to a profile that is to be removed.
     #[error(
         "profile {profile} is still named by {}; put these services under another profile first",
-        list(services)
+        join_names(services)
     )]
     InUse {
-        /// The profile.
+        /// The profile to be removed.
         profile: ProfileName,
-        /// The services.
+        /// The services that refer to it.
         services: Vec<ServiceName>,
     },
-    /// What is to be retired is not there.
+    /// The entry to be removed does not exist.
     #[error("{entry} is not declared; look at the names that `gooseberryctl show` prints")]
     Absent {
         /// The kind and name of the entry.
@@ -86,15 +86,15 @@
         /// The accepted version.
         head: Version,
     },
-    /// The document would be wrong.
-    #[error("{}", first(faults))]
+    /// The resulting document would be invalid.
+    #[error("{}", summarize(faults))]
     Invalid {
-        /// What would be wrong.
+        /// All faults of the resulting document.
         faults: Vec<Fault>,
     },
 }
 
-/// The document and the revision that a proposal makes of `document`.
+/// Applies a proposal to `document`; returns the next document and its revision.
 ///
 /// # Errors
 ///
@@ -114,7 +114,7 @@
     if next == *document {
         return Err(Refusal::Empty { head });
     }
-    check_retired(&next, &proposal.changes)?;
+    check_removed_profiles(&next, &proposal.changes)?;
     let faults = check(&next);
     if !faults.is_empty() {
         return Err(Refusal::Invalid { faults });
@@ -128,7 +128,7 @@
     Ok((next, revision))
 }
 
-/// The changes that make `to` of `from`; what `to` lacks is retired.
+/// The changes that turn `from` into `to`; entries missing in `to` are removed.
 pub fn diff(from: &Document, to: &Document) -> Vec<Change> {
     let mut changes = Vec::new();
     for new in &to.profiles {
@@ -146,19 +146,19 @@
             changes.push(Change::PutWorkspace(new.clone()));
         }
     }
-    let gone = |old: &&Service| to.service(old.name.as_str()).is_none();
-    let services = from.services.iter().filter(gone);
+    let is_removed = |old: &&Service| to.service(old.name.as_str()).is_none();
+    let services = from.services.iter().filter(is_removed);
     changes.extend(services.map(|s| Change::RetireService(s.name.clone())));
-    let gone = |old: &&Profile| to.profile(&old.name).is_none();
-    let profiles = from.profiles.iter().filter(gone);
+    let is_removed = |old: &&Profile| to.profile(&old.name).is_none();
+    let profiles = from.profiles.iter().filter(is_removed);
     changes.extend(profiles.map(|p| Change::RetireProfile(p.name.clone())));
-    let gone = |old: &&Workspace| to.workspace_named(&old.name).is_none();
-    let workspaces = from.workspaces.iter().filter(gone);
+    let is_removed = |old: &&Workspace| to.workspace_named(&old.name).is_none();
+    let workspaces = from.workspaces.iter().filter(is_removed);
     changes.extend(workspaces.map(|w| Change::RetireWorkspace(w.name.clone())));
     changes
 }
 
-/// Carries a change out; returns whether it made sense.
+/// Applies a change; returns `false` if the entry to be removed does not exist.
 pub(crate) fn apply(document: &mut Document, change: &Change) -> bool {
     match change {
         Change::PutProfile(new) => put(&mut document.profiles, new, |p| &p.name),
@@ -170,7 +170,7 @@
     }
 }
 
-/// The kind and name of the entry that a change concerns, as `profile drafts`.
+/// The kind and name of the changed entry, such as `profile drafts`.
 pub fn describe(change: &Change) -> String {
     match change {
         Change::PutProfile(p) => format!("profile {}", p.name),
@@ -182,7 +182,7 @@
     }
 }
 
-/// Whether a change takes its entry away.
+/// Whether a change removes its entry.
 pub fn is_retirement(change: &Change) -> bool {
     matches!(
         change,
@@ -190,13 +190,13 @@
     )
 }
 
-/// No service may name a profile that the changes retire.
-fn check_retired(next: &Document, changes: &[Change]) -> Result<(), Refusal> {
+/// Rejects changes that remove a profile to which a service still refers.
+fn check_removed_profiles(next: &Document, changes: &[Change]) -> Result<(), Refusal> {
     for change in changes {
         let Change::RetireProfile(profile) = change else {
             continue;
         };
-        // The profile may have been put again by a later change.
+        // A later change may have added the profile again.
         if next.profile(profile).is_some() {
             continue;
         }
@@ -226,14 +226,14 @@
     found.is_ok()
 }
 
-/// The names, with commas between them.
-fn list(services: &[ServiceName]) -> String {
+/// The names, separated by commas.
+fn join_names(services: &[ServiceName]) -> String {
     let names: Vec<&str> = services.iter().map(ServiceName::as_str).collect();
     names.join(", ")
 }
 
-/// The first fault, and how many more there are.
-fn first(faults: &[Fault]) -> String {
+/// The first fault and the number of the others.
+fn summarize(faults: &[Fault]) -> String {
     match faults {
         [] => String::new(),
         [one] => one.to_string(),
--- a/crates/profiles/src/check.rs
+++ b/crates/profiles/src/check.rs
@@ -1,27 +1,27 @@
-//! Checks of a whole document before it is accepted.
+//! Validation of a document before it is accepted.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
 use crate::document::{Document, Kind, Service};
 
-/// The hexadecimal digits of a key's digest.
+/// Number of hexadecimal digits in a key's digest.
 const DIGEST_DIGITS: usize = 64;
 
-/// What is wrong with a document.
+/// A validation error in a document or in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Serialize, Deserialize)]
 #[error("{place}: found {found}; {remedy}")]
 pub struct Fault {
-    /// The path in the document, as `services[0].profile`.
+    /// Path in the document, such as `services[0].profile`.
     pub place: String,
-    /// What was found there.
+    /// The invalid value, as it is shown to the operator.
     pub found: String,
-    /// What to write instead.
+    /// Advice on what to write instead.
     pub remedy: String,
 }
 
 impl Fault {
-    /// A fault at `place`.
+    /// Creates a fault at the path `place`.
     pub fn new(place: String, found: impl Into<String>, remedy: impl Into<String>) -> Self {
         Self {
             place,
@@ -31,7 +31,7 @@
     }
 }
 
-/// All faults of a sorted document; none if it may be accepted.
+/// All faults of a document whose lists are sorted; empty if it is valid.
 pub fn check(document: &Document) -> Vec<Fault> {
     let mut faults = Vec::new();
     check_names(document, &mut faults);
@@ -43,7 +43,7 @@
     faults
 }
 
-/// Each name is present and stands once.
+/// Checks that names are well-formed and unique within their list.
 fn check_names(document: &Document, faults: &mut Vec<Fault>) {
     let profiles = document.profiles.iter().map(|p| p.name.as_str());
     check_list("profiles", profiles, faults);
@@ -68,15 +68,15 @@
     }
 }
 
-/// Whether `text` is the digest of a key.
+/// Whether `text` has the form of a key's digest.
 pub fn is_digest(text: &str) -> bool {
     text.len() == DIGEST_DIGITS && text.chars().all(|c| c.is_ascii_hexdigit())
 }
 
-/// Whether `name` may be used in paths and keys.
+/// Whether `name` may be used in paths and storage keys.
 fn is_name(name: &str) -> bool {
-    let is_plain = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
-    !name.is_empty() && name.len() <= 64 && name.chars().all(is_plain)
+    let is_allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
+    !name.is_empty() && name.len() <= 64 && name.chars().all(is_allowed)
 }
 
 fn check_profiles(document: &Document, faults: &mut Vec<Fault>) {
--- a/crates/profiles/src/commit.rs
+++ b/crates/profiles/src/commit.rs
@@ -1,8 +1,8 @@
-//! How a proposal gets accepted although answers of the store are lost.
+//! Commits a proposal by optimistic concurrency, tolerating lost responses of the store.
 //!
 //! The head is written only if it is unchanged since it was read, and each version's revision only
-//! if there is none yet. So a proposal takes effect at most once, and a write without an answer is
-//! read back by the operation that stands in the revision.
+//! if there is none yet. So a proposal takes effect at most once. After a write without a response
+//! the store is read back, and the operation id in the revision tells whether the write took effect.
 
 use base::prelude::*;
 use serde::{Deserialize, Serialize};
@@ -10,121 +10,123 @@
 use crate::change::{Proposal, Refusal, Revision, propose};
 use crate::document::Document;
 
-/// What the store holds.
+/// The store's state as last read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreState {
     /// The accepted document; of version 0 if there is none.
     pub document: Document,
-    /// The revision that follows on the proposal's base, if there is one.
+    /// The revision that directly follows the proposal's base; `None` if there is none yet.
     pub next: Option<Revision>,
 }
 
-/// How a write ended.
+/// The result of a write to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteResult {
     /// It took effect.
     Committed,
-    /// It had no effect, since the head had changed.
+    /// It had no effect, because the head had changed.
     Conflict,
     /// It was not sent.
     Unsent,
-    /// It may have taken effect, now or later.
+    /// No response came; the write may have taken effect or may still do so.
     Unanswered,
 }
 
-/// What to do next.
+/// The next action of the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Read the store and report [`StoreState`].
+    /// Read the store and pass the result to [`Commit::on_read`].
     Read,
-    /// Read the store after a pause.
+    /// Do the same after a pause.
     ReadLater,
-    /// Write this revision and its head, if the head is the one that was read.
+    /// Write this revision and its head, provided that the head is the one that was read, and pass
+    /// the result to [`Commit::on_write`].
     Write(Document, Revision),
-    /// Nothing more.
+    /// Stop; the outcome is final.
     Finish(Outcome),
 }
 
-/// How a proposal ended.
+/// The final outcome of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
 pub enum Outcome {
     /// It was accepted.
     Accepted {
-        /// The version that it made.
+        /// The version after its changes.
         version: Version,
     },
-    /// It was not accepted and never will be.
+    /// It was rejected and will not take effect.
     Refused {
-        /// Why.
+        /// The reason.
         refusal: Refusal,
     },
-    /// The store is away and nothing was sent to it.
+    /// The store is unavailable and no write was sent to it.
     Unavailable,
-    /// It may have been accepted, or may yet be.
+    /// It may have been accepted, or may still be.
     Unknown {
-        /// The operation by which it can be looked for.
+        /// The operation id by which to find it in the history.
         operation: OperationId,
     },
 }
 
-/// One proposal on its way.
+/// The commit of one proposal, as a state machine without I/O.
 #[derive(Clone, Debug)]
 pub struct Commit {
     proposal: Proposal,
     deadline: Millis,
-    is_sent: bool,
+    // Whether a write got no response, so that the proposal may take effect.
+    has_unanswered: bool,
 }
 
 impl Commit {
-    /// A proposal that is given up at `deadline`; the first step is [`Step::Read`].
+    /// Starts the commit of a proposal, abandoned at `deadline`; the first step is [`Step::Read`].
     pub fn new(proposal: Proposal, deadline: Millis) -> Self {
         Self {
             proposal,
             deadline,
-            is_sent: false,
+            has_unanswered: false,
         }
     }
 
-    /// The store was read, or could not be.
-    pub fn on_read(&mut self, now: Millis, seen: Option<&StoreState>) -> Step {
-        let Some(seen) = seen else {
+    /// Handles the result of a read; `None` if the read failed.
+    pub fn on_read(&mut self, now: Millis, state: Option<&StoreState>) -> Step {
+        let Some(state) = state else {
             return self.retry_or_finish(now);
         };
-        let own = |r: &&Revision| r.operation == self.proposal.operation;
-        if let Some(revision) = seen.next.as_ref().filter(own) {
+        let is_own = |r: &&Revision| r.operation == self.proposal.operation;
+        if let Some(revision) = state.next.as_ref().filter(is_own) {
             let version = revision.version;
             return Step::Finish(Outcome::Accepted { version });
         }
-        match propose(&seen.document, &self.proposal) {
+        match propose(&state.document, &self.proposal) {
             Ok((document, revision)) => Step::Write(document, revision),
             Err(refusal) => Step::Finish(Outcome::Refused { refusal }),
         }
     }
 
-    /// The write ended.
-    pub fn on_write(&mut self, now: Millis, written: WriteResult) -> Step {
-        match written {
+    /// Handles the result of a write.
+    pub fn on_write(&mut self, now: Millis, result: WriteResult) -> Step {
+        match result {
             WriteResult::Committed => {
                 let version = self.proposal.base.next();
                 Step::Finish(Outcome::Accepted { version })
             }
-            // Its own earlier write may be what changed the head.
+            // An earlier write of this proposal may be what changed the head.
             WriteResult::Conflict => Step::Read,
             WriteResult::Unsent => self.retry_or_finish(now),
             WriteResult::Unanswered => {
-                self.is_sent = true;
+                self.has_unanswered = true;
                 self.retry_or_finish(now)
             }
         }
     }
 
-    /// Looks again, unless the time is up.
+    /// Reads the store again, or finishes once the deadline has passed.
     fn retry_or_finish(&self, now: Millis) -> Step {
         if now < self.deadline {
             return Step::ReadLater;
         }
-        if !self.is_sent {
+        if !self.has_unanswered {
             return Step::Finish(Outcome::Unavailable);
         }
         let operation = self.proposal.operation.clone();
--- a/crates/profiles/src/document.rs
+++ b/crates/profiles/src/document.rs
@@ -1,4 +1,4 @@
-//! The shape of the configuration.
+//! The schema of the configuration document.
 
 use balance::Rule;
 use base::prelude::*;
@@ -7,53 +7,53 @@
 use serde::{Deserialize, Serialize};
 use strum::{Display, EnumString, IntoStaticStr};
 
-/// The whole configuration at one version.
+/// The complete configuration at one version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
-    /// The version; 0 before the first accepted change.
+    /// Version number; 0 before the first accepted change.
     #[serde(default)]
     pub version: Version,
-    /// The profiles, sorted by name.
+    /// Profiles, sorted by name.
     #[serde(default)]
     pub profiles: Vec<Profile>,
-    /// The services, sorted by name.
+    /// Services, sorted by name.
     #[serde(default)]
     pub services: Vec<Service>,
-    /// The workspaces, sorted by name.
+    /// Workspaces, sorted by name.
     #[serde(default)]
     pub workspaces: Vec<Workspace>,
 }
 
-/// The declared needs of a class of work.
+/// Quality-of-service settings shared by services with the same needs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Profile {
-    /// The name.
+    /// Name by which services refer to it.
     pub name: ProfileName,
-    /// How generations are resumed.
+    /// How generations are resumed after a backend server fails.
     #[serde(default)]
     pub resume: Resume,
-    /// How journals are kept.
+    /// How journals are replicated to a witness.
     #[serde(default)]
     pub witness: Witness,
-    /// Higher goes first, here and at the engines.
+    /// Scheduling priority at the router and at the engines; higher values go first.
     #[serde(default)]
     pub priority: u32,
-    /// The longest from arrival to the first token or answer, in milliseconds.
+    /// Longest time from arrival to the first token or the response, in milliseconds.
     #[serde(default = "default_deadline_ms")]
     pub deadline_ms: u64,
-    /// The limits of the class.
+    /// Limits per data centre.
     #[serde(default)]
     pub limits: Limits,
-    /// The data centres to which work goes when the router's own is full, in order; those not named
-    /// come last.
+    /// Data centres that receive requests when the router's own is full, in order of preference;
+    /// those not listed come last.
     #[serde(default)]
     pub spill: Vec<DataCentre>,
-    /// How a backend server is chosen; all but the default are baselines for measurements only.
+    /// Load-balancing rule; all but the default are baselines for measurements only.
     #[serde(default)]
     pub choice: Rule,
-    /// How calls that may repeat are retried.
+    /// How retryable calls are retried.
     #[serde(default)]
     pub retry: Retry,
 }
@@ -63,17 +63,17 @@
     10_000
 }
 
-/// Limits of a class of work in one data centre.
+/// Limits of a profile in one data centre.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// The most requests that run at once; 0 for what the backend servers carry.
+    /// Maximum number of running requests; 0 for the capacity of the backend servers.
     pub running: u64,
-    /// The most requests that wait.
+    /// Maximum number of queued requests.
     pub queued: u64,
-    /// The most tokens in one output.
+    /// Maximum number of tokens in one output.
     pub tokens: u64,
-    /// The largest request body, in bytes.
+    /// Maximum size of a request body in bytes.
     pub body_bytes: usize,
 }
 
@@ -88,15 +88,15 @@
     }
 }
 
-/// How calls that may repeat are retried.
+/// How retryable calls are retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Retry {
-    /// The most tries of one call.
+    /// Maximum number of attempts per call, the first included.
     pub tries: u32,
-    /// The retries allowed for each hundred calls.
+    /// Retry budget, as retries per hundred calls.
     pub percent: u32,
-    /// The time limit of one try, in milliseconds.
+    /// Time limit of one attempt in milliseconds.
     pub try_ms: u64,
 }
 
@@ -110,7 +110,7 @@
     }
 }
 
-/// What a service consists of.
+/// The kind of backend servers of a service.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, Display, EnumString, IntoStaticStr,
 )]
@@ -119,7 +119,7 @@
 pub enum Kind {
     /// Model engines.
     Model,
-    /// Plain servers.
+    /// Servers without models.
     Plain,
 }
 
@@ -127,22 +127,22 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// The name.
+    /// Name in the request path.
     pub name: ServiceName,
-    /// What it consists of.
+    /// Kind of its backend servers.
     pub kind: Kind,
-    /// The profile under which it runs.
+    /// Profile that applies to its requests.
     pub profile: ProfileName,
-    /// The models that its engines are to hold; the first is the default.
+    /// Models that its engines load; the first is the default.
     #[serde(default)]
     pub models: Vec<Model>,
-    /// Whether its engines refuse orders with an old fencing number.
+    /// Whether its engines reject requests with an outdated fencing number.
     #[serde(default)]
     pub checks_fence: bool,
-    /// The calls that may be repeated; all others run at most once.
+    /// Calls that may be retried; all others are executed at most once.
     #[serde(default)]
     pub may_repeat: Vec<RetryRule>,
-    /// How long the outcome of a call that may not repeat is kept, in milliseconds.
+    /// How long the outcome of a non-retryable call is kept, in milliseconds.
     #[serde(default = "default_retain_ms")]
     pub retain_ms: u64,
 }
@@ -152,28 +152,28 @@
     24 * 60 * 60 * 1_000
 }
 
-/// Calls of a plain service that may be repeated.
+/// Calls of a plain service that may be retried.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RetryRule {
-    /// The HTTP method, in capitals.
+    /// HTTP method, in upper case.
     pub method: String,
-    /// What the path starts with, counted from behind the service's name.
+    /// Path prefix, relative to the service's name in the path.
     pub path: String,
 }
 
-/// A workspace.
+/// A group of callers with keys and limits of its own.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workspace {
-    /// The name.
+    /// Unique name, which may be used in paths and storage keys.
     pub name: WorkspaceName,
-    /// The digests of its bearer keys, see [`base::hash::key_digest`].
+    /// Digests of its bearer keys, see [`base::hash::key_digest`].
     pub keys: Vec<String>,
-    /// Its weight when work has to wait.
+    /// Weight in fair queueing, used while requests are queued.
     #[serde(default = "default_share")]
     pub share: u32,
-    /// The most requests that run at once in one data centre; 0 for no limit of its own.
+    /// Maximum number of running requests in one data centre; 0 for no limit.
     #[serde(default)]
     pub running: u64,
 }
@@ -214,7 +214,7 @@
         self.workspaces.get(i)
     }
 
-    /// Sorts all lists by name, as lookups need them.
+    /// Sorts all lists by name, which lookups rely on.
     pub fn sort(&mut self) {
         self.profiles.sort_by(|a, b| a.name.cmp(&b.name));
         self.services.sort_by(|a, b| a.name.cmp(&b.name));
--- a/crates/profiles/src/lib.rs
+++ b/crates/profiles/src/lib.rs
@@ -1,7 +1,7 @@
-//! The configuration: its documents, their checks and their versions.
+//! The versioned configuration: documents, validation, changes and their distribution.
 //!
-//! Pure: documents and changes come in, new documents, conflicts and errors go out. The crate knows
-//! nothing of where documents are kept or how they travel.
+//! Performs no I/O: it maps documents and changes to new documents, conflicts and errors. Storage and
+//! transport are up to the callers.
 
 pub mod cache;
 pub mod change;
--- a/crates/profiles/src/topology.rs
+++ b/crates/profiles/src/topology.rs
@@ -1,23 +1,23 @@
-//! From whom a node learns of new versions.
+//! The distribution topology of new configuration versions.
 //!
-//! All nodes of a data centre stand in one order, by rendezvous hashing of their names. The first
-//! ones that are live watch the store; each other node follows nodes before it in the order, so
-//! that no two nodes can follow each other whatever each believes of the rest.
+//! The agents of a data centre are ordered by rendezvous hashing of their host names. The first live
+//! ones watch the store; every other agent follows agents before it in the order. So no two agents
+//! can follow each other, even if their views of the live agents differ.
 
 use base::hash::rendezvous;
 use serde::{Deserialize, Serialize};
 use strum::{Display, EnumString, IntoStaticStr};
 
-/// The key under which nodes are ordered.
+/// Rendezvous hashing key of the order.
 const ORDER: &str = "config-order";
 
-/// The nodes that watch the store in each data centre.
+/// Number of agents that watch the store in each data centre.
 pub const WATCHERS: usize = 2;
 
-/// The nodes that follow one node of a tree first.
+/// Maximum number of agents that fetch changes from the same agent in a tree.
 pub const FANOUT: usize = 3;
 
-/// How new versions spread within a data centre.
+/// How new versions are distributed within a data centre.
 #[derive(
     Clone,
     Copy,
@@ -34,53 +34,54 @@
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Topology {
-    /// All nodes watch the store.
+    /// All agents watch the store.
     Poll,
-    /// All nodes follow the watchers.
+    /// All other agents follow the watchers.
     Flat,
-    /// Nodes follow nodes that follow the watchers, each over two links.
+    /// Agents form a tree below the watchers, each following two agents.
     #[default]
     Tree,
 }
 
-/// The part of one node.
+/// The role of one agent in the distribution.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Role {
     /// It watches the store.
     Watch,
-    /// It follows these nodes, the first one for changes and the second for their versions.
+    /// It follows these agents: it fetches changes from the first and checks the version of the
+    /// second.
     Follow(Vec<String>),
 }
 
-/// The part of `own` among the `live` nodes of its data centre.
+/// The role of the agent `own` among the `live` agents of its data centre.
 pub fn role(topology: Topology, own: &str, live: &[&str]) -> Role {
-    let before = ahead(own, live);
-    let place = before.len();
-    if topology == Topology::Poll || place < WATCHERS {
+    let before = predecessors(own, live);
+    let position = before.len();
+    if topology == Topology::Poll || position < WATCHERS {
         return Role::Watch;
     }
     let (first, second) = match topology {
-        Topology::Tree => tree_links(place),
-        // Half of the nodes follow each of the watchers.
-        _ => (place % WATCHERS, (place + 1) % WATCHERS),
+        Topology::Tree => tree_links(position),
+        // The first links are divided evenly among the watchers.
+        _ => (position % WATCHERS, (position + 1) % WATCHERS),
     };
     Role::Follow(vec![before[first].to_owned(), before[second].to_owned()])
 }
 
-/// The places that the node at `place` follows; the second leads to another subtree.
-fn tree_links(place: usize) -> (usize, usize) {
-    let first = (place - WATCHERS) / FANOUT;
+/// The positions of the agents that the one at `position` follows; the second is in another subtree.
+fn tree_links(position: usize) -> (usize, usize) {
+    let first = (position - WATCHERS) / FANOUT;
     (first, first + 1)
 }
 
-/// The live nodes before `own`, in order.
-fn ahead<'a>(own: &str, live: &[&'a str]) -> Vec<&'a str> {
+/// The live agents before `own`, in order.
+fn predecessors<'a>(own: &str, live: &[&'a str]) -> Vec<&'a str> {
     let rank = |name: &str| (rendezvous(ORDER, name), name.to_owned());
-    let limit = rank(own);
+    let own_rank = rank(own);
     let mut before: Vec<&str> = live
         .iter()
         .copied()
-        .filter(|name| *name != own && rank(name) > limit)
+        .filter(|name| *name != own && rank(name) > own_rank)
         .collect();
     before.sort_by_key(|name| std::cmp::Reverse(rank(name)));
     before
--- a/crates/profiles/tests/apply.rs
+++ b/crates/profiles/tests/apply.rs
@@ -1,4 +1,4 @@
-//! Proposals in a small script: each `propose` prints the version it made or why it is refused.
+//! Scripted proposals: each `propose` prints the new version or the reason for its rejection.
 
 use base::prelude::*;
 use profiles::change::{Change, Proposal, describe, diff, propose};
@@ -26,24 +26,25 @@
                 }
             }
             "diff" => {
-                let mut wanted = Document::default();
+                let mut target = Document::default();
                 for line in case.input.lines() {
                     match change(line) {
-                        Change::PutProfile(p) => wanted.profiles.push(p),
-                        Change::PutService(s) => wanted.services.push(s),
-                        Change::PutWorkspace(w) => wanted.workspaces.push(w),
+                        Change::PutProfile(p) => target.profiles.push(p),
+                        Change::PutService(s) => target.services.push(s),
+                        Change::PutWorkspace(w) => target.workspaces.push(w),
                         other => panic!("{other:?}"),
                     }
                 }
-                wanted.sort();
-                diff(&document, &wanted).iter().map(line).collect()
+                target.sort();
+                diff(&document, &target).iter().map(line).collect()
             }
             other => panic!("unknown directive {other}"),
         });
     });
 }
 
-/// One change: `put KIND NAME [PROFILE]` or `retire KIND NAME`.
+/// Parses `put profile NAME [DEADLINE_MS]`, `put service NAME PROFILE`, `put workspace NAME` or
+/// `retire KIND NAME`.
 fn change(text: &str) -> Change {
     let words: Vec<&str> = text.split_whitespace().collect();
     let json = match words[..] {
--- a/crates/profiles/tests/cache.rs
+++ b/crates/profiles/tests/cache.rs
@@ -1,4 +1,4 @@
-//! Nodes only move to higher versions, whatever reaches them in whatever order.
+//! The version only increases, whichever updates arrive in whichever order.
 
 use base::prelude::*;
 use profiles::cache::{ConfigCache, Update};
@@ -7,10 +7,10 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
-/// The accepted documents up to version `count`, and a node that holds them all.
+/// The documents of versions 0 to `count`, and a cache at version `count`.
 fn accepted(count: u64) -> (Vec<Document>, ConfigCache) {
     let mut documents = vec![Document::default()];
-    let mut held = ConfigCache::default();
+    let mut cache = ConfigCache::default();
     for i in 0..count {
         let workspace = Workspace {
             name: WorkspaceName(format!("w-{}", i % 3)),
@@ -23,11 +23,11 @@
             operation: OperationId(format!("op-{i}")),
             changes: vec![Change::PutWorkspace(workspace)],
         };
-        let (document, revision) = propose(held.document(), &proposal).expect("a valid change");
-        held.apply(Update::Changes(vec![revision]));
+        let (document, revision) = propose(cache.document(), &proposal).expect("a valid change");
+        cache.apply(Update::Changes(vec![revision]));
         documents.push(document);
     }
-    (documents, held)
+    (documents, cache)
 }
 
 proptest! {
@@ -39,31 +39,33 @@
     })]
 
     #[test]
-    fn versions_only_increase(news in prop::collection::vec((any::<bool>(), 0..12_usize, 0..12_u64), 0..30)) {
+    fn versions_only_increase(
+        updates in prop::collection::vec((any::<bool>(), 0..12_usize, 0..12_u64), 0..30),
+    ) {
         let (documents, source) = accepted(11);
-        let mut node = ConfigCache::default();
-        for (is_full, version, after) in news {
-            let before = node.version();
-            let one = if is_full {
+        let mut cache = ConfigCache::default();
+        for (is_full, version, after) in updates {
+            let before = cache.version();
+            let update = if is_full {
                 Update::Full(documents[version].clone())
             } else {
-                source.updates_since(Version(after))
+                source.update_since(Version(after))
             };
-            node.apply(one);
-            prop_assert!(node.version() >= before);
-            let number = usize::try_from(node.version().0).expect("a small number");
-            prop_assert_eq!(node.document(), &documents[number]);
+            cache.apply(update);
+            prop_assert!(cache.version() >= before);
+            let number = usize::try_from(cache.version().0).expect("a small number");
+            prop_assert_eq!(cache.document(), &documents[number]);
         }
-        node.apply(source.updates_since(node.version()));
-        prop_assert_eq!(node.document(), source.document());
+        cache.apply(source.update_since(cache.version()));
+        prop_assert_eq!(cache.document(), source.document());
     }
 }
 
 #[test]
 fn full_update_when_far_behind() {
     let (_, source) = accepted(300);
-    assert!(matches!(source.updates_since(Version(0)), Update::Full(_)));
-    let Update::Changes(revisions) = source.updates_since(Version(298)) else {
+    assert!(matches!(source.update_since(Version(0)), Update::Full(_)));
+    let Update::Changes(revisions) = source.update_since(Version(298)) else {
         panic!("two revisions are kept");
     };
     assert_eq!(revisions.len(), 2);
--- a/crates/profiles/tests/commit.rs
+++ b/crates/profiles/tests/commit.rs
@@ -1,5 +1,5 @@
-//! Racing operators and lost answers, in random order: at most one proposal a version, and each
-//! outcome that is told is true.
+//! Concurrent operators with lost responses, in random order: at most one proposal is accepted per
+//! version, and every reported outcome agrees with the store.
 
 use base::prelude::*;
 use profiles::change::{Change, Proposal, Revision};
@@ -8,16 +8,16 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
-/// A store that keeps every accepted revision, and writes that are still under way.
+/// A store with all accepted revisions, and delayed writes that have not arrived yet.
 #[derive(Default)]
 struct Store {
     document: Document,
     revisions: Vec<Revision>,
-    late: Vec<(Version, Document, Revision)>,
+    delayed: Vec<(Version, Document, Revision)>,
 }
 
 impl Store {
-    fn seen(&self, base: Version) -> StoreState {
+    fn read(&self, base: Version) -> StoreState {
         let next = self.revisions.iter().find(|r| r.version == base.next());
         StoreState {
             document: self.document.clone(),
@@ -26,22 +26,22 @@
     }
 
     fn write(&mut self, base: Version, document: Document, revision: Revision) -> bool {
-        let holds = self.document.version == base;
-        if holds {
+        let is_unchanged = self.document.version == base;
+        if is_unchanged {
             self.document = document;
             self.revisions.push(revision);
         }
-        holds
+        is_unchanged
     }
 
-    fn settle(&mut self) {
-        for (base, document, revision) in std::mem::take(&mut self.late) {
+    fn deliver_delayed(&mut self) {
+        for (base, document, revision) in std::mem::take(&mut self.delayed) {
             self.write(base, document, revision);
         }
     }
 }
 
-/// An operator's proposal on its way.
+/// An operator with a proposal in progress.
 struct Operator {
     base: Version,
     operation: OperationId,
@@ -71,19 +71,20 @@
         }
     }
 
-    /// Carries out one step; `fault` decides what becomes of it.
+    /// Carries out one step. Fault 0 fails the read or leaves the write unsent, 1 delays the write and 2
+    /// loses its response; other values do no harm.
     fn run(&mut self, now: Millis, store: &mut Store, fault: u8) {
         let step = std::mem::replace(&mut self.step, Step::Read);
         self.step = match step {
             Step::Read | Step::ReadLater => {
-                let seen = (fault != 0).then(|| store.seen(self.base));
-                self.commit.on_read(now, seen.as_ref())
+                let state = (fault != 0).then(|| store.read(self.base));
+                self.commit.on_read(now, state.as_ref())
             }
             Step::Write(document, revision) => {
-                let written = match fault {
+                let result = match fault {
                     0 => WriteResult::Unsent,
                     1 => {
-                        store.late.push((self.base, document, revision));
+                        store.delayed.push((self.base, document, revision));
                         WriteResult::Unanswered
                     }
                     2 => {
@@ -93,7 +94,7 @@
                     _ if store.write(self.base, document, revision) => WriteResult::Committed,
                     _ => WriteResult::Conflict,
                 };
-                self.commit.on_write(now, written)
+                self.commit.on_write(now, result)
             }
             end @ Step::Finish(_) => end,
         };
@@ -109,12 +110,12 @@
     })]
 
     #[test]
-    fn outcomes_hold(script in prop::collection::vec((0..3_usize, 0..8_u8), 0..80)) {
+    fn outcomes_match_store(script in prop::collection::vec((0..3_usize, 0..8_u8), 0..80)) {
         let mut store = Store::default();
         let mut operators: Vec<Operator> = (0..3).map(|i| Operator::new(i, Version(0))).collect();
         for (now, (who, fault)) in (0..).zip(script) {
             if fault == 7 {
-                store.settle();
+                store.deliver_delayed();
             }
             operators[who].run(Millis(now), &mut store, fault);
         }
@@ -123,13 +124,13 @@
                 one.run(Millis(1_000), &mut store, 0);
             }
         }
-        store.settle();
-        prop_assert!(store.revisions.len() <= 1, "one proposal a version");
+        store.deliver_delayed();
+        prop_assert!(store.revisions.len() <= 1, "at most one proposal per version");
         for one in &operators {
-            let is_in = store.revisions.iter().any(|r| r.operation == one.operation);
+            let is_stored = store.revisions.iter().any(|r| r.operation == one.operation);
             match &one.step {
-                Step::Finish(Outcome::Accepted { .. }) => prop_assert!(is_in),
-                Step::Finish(Outcome::Refused { .. } | Outcome::Unavailable) => prop_assert!(!is_in),
+                Step::Finish(Outcome::Accepted { .. }) => prop_assert!(is_stored),
+                Step::Finish(Outcome::Refused { .. } | Outcome::Unavailable) => prop_assert!(!is_stored),
                 _ => {}
             }
         }
@@ -137,10 +138,10 @@
 }
 
 #[test]
-fn lost_answer_read_back() {
+fn lost_response_read_back() {
     let mut store = Store::default();
     let mut one = Operator::new(0, Version(0));
-    // Read, written with the answer lost, read back.
+    // A read, a write whose response is lost, and a read that finds the revision.
     for fault in [3, 2, 3] {
         one.run(Millis(0), &mut store, fault);
     }
@@ -149,7 +150,7 @@
 }
 
 #[test]
-fn lost_answer_store_away() {
+fn lost_response_store_unavailable() {
     let mut store = Store::default();
     let mut one = Operator::new(0, Version(0));
     for (now, fault) in [(0, 3), (0, 2), (30, 0)] {
--- a/crates/profiles/tests/topology.rs
+++ b/crates/profiles/tests/topology.rs
@@ -1,4 +1,4 @@
-//! Who watches the store and who follows whom.
+//! The links between agents and watchers carry updates to every agent.
 
 use profiles::topology::{Role, Topology, WATCHERS, role};
 use proptest::prelude::*;
@@ -16,9 +16,9 @@
         ..Config::default()
     })]
 
-    /// News reaches every node over the links of any live set, also with any one node frozen.
+    /// An update reaches every agent of any live set, even if one of them stalls and forwards nothing.
     #[test]
-    fn reaches_all(count in 1..40_usize, frozen in 0..40_usize, is_tree in any::<bool>()) {
+    fn update_reaches_all(count in 1..40_usize, frozen in 0..40_usize, is_tree in any::<bool>()) {
         let topology = if is_tree { Topology::Tree } else { Topology::Flat };
         let all = names(count);
         let live: Vec<&str> = all.iter().map(String::as_str).collect();
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn poll_by_all() {
+fn poll_all_watch() {
     let all = names(5);
     let live: Vec<&str> = all.iter().map(String::as_str).collect();
     assert!(
--- a/crates/routing/src/call.rs
+++ b/crates/routing/src/call.rs
@@ -1,4 +1,4 @@
-//! What a caller asks for, and what the configuration makes of it.
+//! Requests as callers declare them, and their routing by one configuration version.
 
 use std::sync::Arc;
 
@@ -8,91 +8,92 @@
 
 use crate::snapshot::{Route, Snapshot, Workspace};
 
-/// The size of a generation, as the caller declares it.
+/// The size of a generation in tokens, as the caller declares it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GenerationSize {
-    /// The tokens of the prompt.
+    /// Tokens of the prompt.
     pub input: u64,
-    /// The most tokens of output.
+    /// Upper bound on the output tokens.
     pub output: u64,
-    /// The caller's estimate of the output in tokens; often far off.
+    /// The caller's estimate of the output tokens; often far off. `None` if the caller gives none.
     pub output_estimate: Option<u64>,
-    /// A hash of the part of the prompt that is the request's own; a repeat of the request has the same.
+    /// Hash of the prompt's last part, the one not shared with other requests; equal for all retries of
+    /// a request. `None` if the caller does not describe the prompt's parts.
     pub content_hash: Option<u64>,
 }
 
 impl GenerationSize {
-    /// The tokens of memory that the generation is expected to need.
+    /// KV cache that the generation needs at most, in tokens.
     pub fn kv_tokens(&self) -> u64 {
         self.input + self.output
     }
 }
 
-/// The head of a request, as the product sees it.
+/// The parts of a caller's request head that routing and forwarding use.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Call {
-    /// The caller's id of this attempt; each attempt has its own.
+    /// The caller's id of this attempt, unique per attempt.
     pub id: String,
-    /// The host name, without a port.
+    /// Requested host name, without the port.
     pub host: String,
-    /// The path, without the query.
+    /// Request path, without the query.
     pub path: String,
-    /// How long the caller waits for the whole answer.
+    /// How long the caller waits for the complete response; `None` if it sets no limit.
     pub time_limit: Option<Millis>,
-    /// The key of the caller.
+    /// The caller's API key; `None` if the request carries none.
     pub key: Option<String>,
-    /// The number of the last event that the caller holds, if it continues a stream.
+    /// Number of the last event that the caller received, if it resumes a stream.
     pub last_event: Option<u64>,
-    /// The size of the generation, if it is one.
+    /// Declared size of the generation; `None` for any other request.
     pub size: Option<GenerationSize>,
 }
 
-/// Why the configuration does not allow a request.
+/// The reason why the configuration does not allow a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum Denial {
-    /// No route has this host and path.
+    /// No route matches the host name and path.
     NoRoute,
-    /// The key is missing or belongs to no workspace.
+    /// The key is missing, or no workspace has it.
     UnknownKey,
 }
 
-/// What the configuration makes of a request; all of it comes from one version.
+/// The routing decision for a request, taken from a single configuration version.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The version.
+    /// The configuration version that the decision is based on.
     pub version: Version,
-    /// The route.
+    /// The matching route.
     pub route: Arc<Route>,
-    /// The service that is to run the request.
+    /// The target service, chosen by weight.
     pub service: ServiceName,
     /// The workspace of the caller; `None` on a public route.
     pub workspace: Option<Arc<Workspace>>,
 }
 
 impl Snapshot {
-    /// What is to be done with `call`.
+    /// Matches `call` to a route, its workspace and a target service.
     ///
     /// # Errors
     ///
     /// [`Denial`] if this version does not allow the request.
     pub fn plan(&self, call: &Call) -> Result<Plan, Denial> {
         let route = self.route(&call.host, &call.path).ok_or(Denial::NoRoute)?;
-        let holder = call.key.as_deref().and_then(|k| self.workspace(k));
-        if holder.is_none() && self.has_workspaces() && !route.is_public {
+        let workspace = call.key.as_deref().and_then(|k| self.workspace(k));
+        if workspace.is_none() && self.has_workspaces() && !route.is_public {
             return Err(Denial::UnknownKey);
         }
         Ok(Plan {
             version: self.version,
-            service: target(route, &call.id).clone(),
+            service: pick_target(route, &call.id).clone(),
             route: Arc::clone(route),
-            workspace: holder.cloned(),
+            workspace: workspace.cloned(),
         })
     }
 }
 
-/// The target that takes the request of this id, by weight.
-fn target<'a>(route: &'a Route, id: &str) -> &'a ServiceName {
+/// Chooses a target by weight, hashing the request id so that the choice is deterministic.
+fn pick_target<'a>(route: &'a Route, id: &str) -> &'a ServiceName {
     let total: u64 = route.targets.iter().map(|t| t.weight).sum();
     let mut rest = stable(id.as_bytes()) % total.max(1);
     for target in &route.targets {
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,7 +1,7 @@
-//! Which service a request goes to, for which workspace, and what may be done with it.
+//! Routing of requests to services, authentication by workspace key and per-route retry rules.
 //!
-//! Pure: a [`Snapshot`] is one version of the configuration, immutable once built. The crate knows
-//! nothing of the format in which a configuration is published.
+//! Performs no I/O: a [`Snapshot`] is one version of the configuration, immutable once built. The
+//! crate is independent of the format in which a configuration is published.
 
 pub mod call;
 pub mod snapshot;
--- a/crates/routing/src/snapshot.rs
+++ b/crates/routing/src/snapshot.rs
@@ -1,115 +1,115 @@
-//! One version of the configuration.
+//! An immutable, indexed version of the configuration.
 
 use std::sync::Arc;
 
 use base::prelude::*;
 use strum::{Display, IntoStaticStr};
 
-/// What may be done with the requests of a route.
+/// Delivery semantics of a route's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum Kind {
-    /// May run more than once.
+    /// May be executed more than once.
     Idempotent,
-    /// Runs at most once.
+    /// Executed at most once.
     Once,
-    /// Answered by a stream of events that may be continued at another backend server.
+    /// Answered by an event stream that another backend server may resume.
     Resumable,
-    /// Answered by a stream of events that runs at most once.
+    /// Answered by an event stream, executed at most once.
     Stream,
 }
 
 impl Kind {
-    /// Whether a request may be sent again after it may have run.
+    /// Whether a request may be retried although it may already have been executed.
     pub fn may_retry(self) -> bool {
         matches!(self, Self::Idempotent | Self::Resumable)
     }
 
-    /// Whether the answer is a stream of events.
+    /// Whether the response is an event stream.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Resumable | Self::Stream)
     }
 }
 
-/// A service that takes a share of a route's requests.
+/// A service that receives a share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// The service.
+    /// Name of the receiving service.
     pub service: ServiceName,
-    /// Its share, relative to the other targets of the route.
+    /// Relative weight among the targets of the route.
     pub weight: u64,
 }
 
-/// Where the requests of one host name and path prefix go.
+/// A rule that maps a host name and path prefix to services.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// The name, for logs.
+    /// Name for logs only.
     pub name: String,
-    /// The host name that callers use.
+    /// Host name that requests must carry.
     pub host: String,
-    /// The start of the path; begins and ends with a slash.
+    /// Path prefix; begins and ends with a slash.
     pub prefix: String,
-    /// What may be done with the requests.
+    /// Delivery semantics of the requests.
     pub kind: Kind,
-    /// The longest that a request may be kept waiting for the end of its answer.
+    /// Longest time until the response is complete.
     pub timeout: Millis,
-    /// The time within which the answer, or its first event, is of full use.
+    /// Latency objective: time to the complete response, or to the first event of a stream.
     pub objective: Millis,
-    /// The most backend servers that may run one request.
+    /// Maximum number of backend servers that may execute one request.
     pub attempts: u32,
-    /// The rank of the requests; 0 is the most urgent.
+    /// Priority class of the requests; 0 is the most urgent.
     pub priority: u32,
-    /// Whether requests need no key.
+    /// Whether requests are accepted without a key.
     pub is_public: bool,
-    /// The services; at least one.
+    /// Services that share the requests by weight; at least one.
     pub targets: Vec<Target>,
 }
 
-/// What the engines of a service are able to do.
+/// Capacity and abilities of a service's engines, each value per engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Engine {
-    /// The requests that an engine runs at once.
+    /// Maximum number of concurrent requests.
     pub slots: u64,
-    /// The tokens that its memory holds.
+    /// Size of the KV cache in tokens.
     pub kv_capacity: u64,
-    /// The tokens in one event of a stream.
+    /// Tokens per event of a stream.
     pub stride: u64,
-    /// Whether it copies the memory of a running request to another engine.
+    /// Whether engines can copy the KV cache of a running request to a backup server.
     pub has_backups: bool,
 }
 
-/// A service.
+/// A group of interchangeable backend servers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Service {
-    /// The name.
+    /// Name by which routes refer to it.
     pub name: ServiceName,
-    /// The path of its health check.
+    /// Path of its health check.
     pub health: String,
-    /// The connections that each of its backend servers accepts from all hosts together.
+    /// Connections that each of its backend servers accepts, summed over all hosts.
     pub connections: u64,
-    /// What its engines do; `None` for a plain service.
+    /// Capacity of its engines; `None` for a service without engines.
     pub engine: Option<Engine>,
 }
 
-/// A workspace and the keys of its callers.
+/// A workspace and its callers' keys.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Workspace {
-    /// The name.
+    /// Name that is sent along to backend servers.
     pub name: WorkspaceName,
-    /// The rank of its requests, in place of that of the route.
+    /// Priority class that overrides the route's; `None` keeps the route's.
     pub priority: Option<u32>,
-    /// The keys.
+    /// API keys of its callers.
     pub keys: Vec<String>,
 }
 
-/// Bounds on what callers may send.
+/// Limits on callers' requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// The largest head of a request in bytes.
+    /// Maximum size of a request head in bytes.
     pub header_bytes: usize,
-    /// The largest body of a request in bytes.
+    /// Maximum size of a request body in bytes.
     pub body_bytes: usize,
-    /// How long a caller's connection may stay without a request.
+    /// How long a caller's connection may stay idle.
     pub idle: Millis,
 }
 
@@ -117,12 +117,13 @@
 ///
 /// # Invariants
 ///
-/// Routes are sorted by host and then by falling length of prefix; services by name; keys by text.
+/// Routes are sorted by host name and then by descending prefix length, services by name and keys by
+/// text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Snapshot {
-    /// The version; versions grow, in steps of any size.
+    /// Version number; it increases, but not necessarily by one.
     pub version: Version,
-    /// Bounds on what callers may send.
+    /// Limits on callers' requests and connections.
     pub limits: Limits,
     routes: Vec<Arc<Route>>,
     services: Vec<Service>,
@@ -131,7 +132,7 @@
 }
 
 impl Snapshot {
-    /// Indexes one version of the configuration.
+    /// Builds the indexes for one version of the configuration.
     pub fn new(
         version: Version,
         limits: Limits,
@@ -161,7 +162,7 @@
         }
     }
 
-    /// The route of the longest prefix that begins `path`, among those of `host`.
+    /// The route of `host` with the longest prefix of `path`.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let first = self.routes.partition_point(|r| r.host.as_str() < host);
         self.routes[first..]
@@ -170,7 +171,7 @@
             .find(|r| path.starts_with(&r.prefix))
     }
 
-    /// The workspace that holds `key`.
+    /// The workspace to which `key` belongs.
     pub fn workspace(&self, key: &str) -> Option<&Arc<Workspace>> {
         let i = self
             .keys
@@ -179,25 +180,25 @@
         self.workspaces.get(self.keys[i].1)
     }
 
-    /// The service of that name.
+    /// The service called `name`.
     pub fn service(&self, name: &ServiceName) -> Option<&Service> {
         let i = self.services.binary_search_by(|s| s.name.cmp(name)).ok()?;
         Some(&self.services[i])
     }
 
-    /// The service that has engines, if there is exactly one.
+    /// The service with engines; `None` unless there is exactly one.
     pub fn sole_engine_service(&self) -> Option<&Service> {
         let mut engines = self.services.iter().filter(|s| s.engine.is_some());
         let first = engines.next()?;
         engines.next().is_none().then_some(first)
     }
 
-    /// Whether callers need keys at all.
+    /// Whether any workspace is configured; without one, no route requires a key.
     pub fn has_workspaces(&self) -> bool {
         !self.workspaces.is_empty()
     }
 
-    /// How many routes there are.
+    /// Number of routes, for the log.
     pub fn route_count(&self) -> usize {
         self.routes.len()
     }
--- a/crates/routing/tests/route_choice.rs
+++ b/crates/routing/tests/route_choice.rs
@@ -1,4 +1,4 @@
-//! Routes by host and longest prefix, keys, and targets by weight.
+//! Routes are chosen by host name and longest prefix, workspaces by key and targets by weight.
 
 use base::prelude::*;
 use routing::{Call, Denial, Kind, Limits, Route, Snapshot, Target, Workspace};
--- a/crates/settings/src/agent.rs
+++ b/crates/settings/src/agent.rs
@@ -1,4 +1,4 @@
-//! The settings of `gooseberry-agent`.
+//! Settings of `gooseberry-agent`.
 
 use std::net::SocketAddr;
 
@@ -11,52 +11,52 @@
 use crate::load::Validate;
 use crate::router::default_platform_ms;
 
-/// The settings of an agent.
+/// Settings of an agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Agent {
-    /// The name of the host.
+    /// Name of the host, as in the platform's host list.
     pub host: HostId,
-    /// Its data centre.
+    /// Data centre of the host.
     pub data_centre: DataCentre,
-    /// Where the process listens.
+    /// Addresses on which the agent listens.
     pub listen: Listen,
-    /// Where the platform is.
+    /// Address of the platform's table and object store.
     pub platform: SocketAddr,
-    /// The longest wait for the platform, in milliseconds.
+    /// Time limit of a call to the platform, in milliseconds.
     #[serde(default = "default_platform_ms")]
     pub platform_ms: u64,
-    /// The time between two looks at the platform, in milliseconds.
+    /// Interval between polls of the platform, in milliseconds.
     #[serde(default = "default_poll_ms")]
     pub poll_ms: u64,
-    /// The time between two looks at a backend server's load, in milliseconds.
+    /// Interval between polls of a backend server's load, in milliseconds.
     #[serde(default = "default_load_ms")]
     pub load_ms: u64,
-    /// Agents to ask for the configuration while the platform is away.
+    /// Agents from which to fetch the configuration while the platform is unavailable.
     #[serde(default)]
     pub peers: Vec<SocketAddr>,
-    /// How new versions of the configuration spread within the data centre.
+    /// How new versions of the configuration are distributed within the data centre.
     #[serde(default)]
     pub spread: Topology,
-    /// The digest of the operators' key, see [`base::hash::key_digest`]; without one no operator is
-    /// admitted.
+    /// Digest of the operators' key, see [`base::hash::key_digest`]; with `None`, operators' requests
+    /// are rejected.
     #[serde(default)]
     pub operator_digest: Option<String>,
-    /// The log.
+    /// Log level and format.
     #[serde(default)]
     pub log: Log,
-    /// Where metrics go, if anywhere.
+    /// Address of the statsd server; `None` turns metrics off.
     #[serde(default)]
     pub statsd: Option<SocketAddr>,
 }
 
-/// The addresses on which an agent listens.
+/// Addresses on which an agent listens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
-    /// For the host's router and other agents.
+    /// Address for the host's router and for other agents.
     pub peers: SocketAddr,
-    /// For operators: state, readiness, changes.
+    /// Address for operators: state, readiness and configuration changes.
     pub admin: SocketAddr,
 }
 
--- a/crates/settings/src/common.rs
+++ b/crates/settings/src/common.rs
@@ -1,17 +1,17 @@
-//! What the settings of several processes share.
+//! Settings and validation shared by several processes.
 
 use std::net::SocketAddr;
 
 use profiles::check::Fault;
 use serde::{Deserialize, Serialize};
 
-/// How a process writes its log.
+/// Log settings of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Log {
-    /// The least severe level that is written.
+    /// Least severe level that is written.
     pub level: Level,
-    /// The shape of a line.
+    /// Format of a log line.
     pub format: Format,
 }
 
@@ -24,17 +24,17 @@
     }
 }
 
-/// A level of the log.
+/// Log level, from the least to the most verbose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Level {
-    /// Nothing.
+    /// Writes nothing.
     Off,
-    /// Losses that need an operator.
+    /// Failures that need an operator.
     Error,
-    /// Losses that were recovered.
+    /// Failures that were recovered from.
     Warn,
-    /// Starts, stops and changes.
+    /// Start, shutdown and changes of state.
     Info,
     /// Each request.
     Debug,
@@ -42,17 +42,17 @@
     Trace,
 }
 
-/// The shape of a line of the log.
+/// Format of a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Format {
     /// Time, level, module and message.
     Full,
-    /// Level and message, for a log collector that adds the time.
+    /// Level and message, for log collectors that add the time themselves.
     Short,
 }
 
-/// The fault of an address on which a process cannot be reached, if it is one.
+/// Returns a fault if `addr` is unspecified, such as `0.0.0.0`, so that peers cannot reach it.
 pub(crate) fn address_fault(place: &str, addr: SocketAddr) -> Option<Fault> {
     if addr.ip().is_unspecified() {
         let remedy = "write the IP number of this host's interface";
@@ -61,7 +61,7 @@
     None
 }
 
-/// The fault of a name that is empty, if it is one.
+/// Returns a fault if `name` is empty.
 pub(crate) fn name_fault(place: &str, name: &str) -> Option<Fault> {
     if name.is_empty() {
         let remedy = "write the name that the platform's host list uses";
--- a/crates/settings/src/gateway.rs
+++ b/crates/settings/src/gateway.rs
@@ -1,4 +1,4 @@
-//! The settings of `gooseberry-gateway`.
+//! Settings of `gooseberry-gateway`.
 
 use std::net::SocketAddr;
 
@@ -9,52 +9,52 @@
 use crate::common::{Level, address_fault, name_fault};
 use crate::load::Validate;
 
-/// The settings of a gateway.
+/// Settings of a gateway.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Gateway {
-    /// The name of the host.
+    /// Name of the host, as in the platform's host list.
     pub host: HostId,
-    /// Its data centre.
+    /// Data centre of the host.
     pub data_centre: DataCentre,
-    /// Where the process listens.
+    /// Addresses on which the gateway listens.
     pub listen: Listen,
-    /// Where the platform's store is.
+    /// Address of the platform's store.
     pub store: SocketAddr,
-    /// What bounds repeated sends.
+    /// Retry budget.
     pub retries: Retries,
-    /// The time from SIGTERM until the process is killed, in seconds.
+    /// Time from SIGTERM until the process is killed, in seconds.
     pub grace_s: f64,
-    /// The time after which a leaving backend server must get no more requests, in milliseconds.
+    /// Time after which a leaving backend server must receive no new requests, in milliseconds.
     pub leave_ms: u64,
-    /// The least severe level of the log.
+    /// Least severe log level that is written.
     #[serde(default = "default_level")]
     pub log_level: Level,
 }
 
-/// The addresses on which a gateway listens.
+/// Addresses on which a gateway listens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
-    /// For callers.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// For the balancer's question whether the host takes connections.
+    /// Address for the load balancer's readiness checks.
     pub ready: SocketAddr,
-    /// For the digests of other hosts, by UDP.
+    /// UDP address for the digests of other hosts.
     pub peers: SocketAddr,
-    /// For metrics.
+    /// Address that serves metrics.
     pub metrics: SocketAddr,
 }
 
-/// What bounds repeated sends, over all hosts together.
+/// The retry budget, which bounds the retries of all hosts together.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Retries {
-    /// The length of the sliding window in seconds.
+    /// Length of the sliding window in seconds.
     pub window_s: f64,
-    /// The repeats allowed for each request of a window.
+    /// Retries allowed per request within a window.
     pub ratio: f64,
-    /// The repeats allowed besides, in each window.
+    /// Retries allowed in each window on top of `ratio`.
     pub extra: f64,
 }
 
@@ -85,11 +85,11 @@
             let remedy = "write a time in milliseconds above 0";
             faults.push(Fault::new("leave_ms".to_owned(), "0", remedy));
         }
-        let shares = [
+        let allowances = [
             ("retries.ratio", self.retries.ratio),
             ("retries.extra", self.retries.extra),
         ];
-        for (place, value) in shares {
+        for (place, value) in allowances {
             if value < 0.0 || value.is_nan() {
                 let remedy = "write 0 or a number above it";
                 faults.push(Fault::new(place.to_owned(), value.to_string(), remedy));
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,6 +1,6 @@
-//! The settings of each process: one JSON file, checked whole before anything starts.
+//! Start-up settings of the daemons: one JSON file per process, validated completely at start-up.
 //!
-//! The crate knows nothing of the configuration that operators change while processes run.
+//! The configuration that operators change at run time is not part of this crate.
 
 pub mod agent;
 pub mod common;
--- a/crates/settings/src/load.rs
+++ b/crates/settings/src/load.rs
@@ -1,4 +1,4 @@
-//! Reading and checking a JSON file.
+//! Reading and validation of a JSON settings file.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -8,38 +8,38 @@
 
 pub use profiles::check::Fault;
 
-/// Why settings cannot be used.
+/// The reason why settings cannot be used.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// The file cannot be read.
     #[error("{}: cannot be read: {cause}; name a file that exists and may be read", file.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// The cause given by the system.
+        /// The I/O error.
         cause: std::io::Error,
     },
-    /// The file is not JSON of the expected shape.
+    /// The file is not JSON, or does not match the expected types.
     #[error("{}: at {place}: {cause}; {}", file.display(), remedy(cause))]
     Malformed {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// The path in the file, as `listen.callers`.
+        /// Path within the JSON document, such as `listen.callers`.
         place: String,
-        /// What was found and what was expected.
+        /// The parser's message.
         cause: String,
     },
-    /// A value is of the right shape and makes no sense.
+    /// A value has the right type but is not valid.
     #[error("{}: {fault}", file.display())]
     Invalid {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// The first fault.
+        /// The first of the faults.
         fault: Fault,
     },
 }
 
-/// What to write where the JSON library only says what is wrong.
+/// Advice for an error of the JSON parser, which does not say what to write instead.
 fn remedy(cause: &str) -> &'static str {
     if cause.starts_with("invalid socket address") {
         "write an IP number and a port, as 10.0.0.7:7004"
@@ -52,13 +52,13 @@
     }
 }
 
-/// Settings that can be checked as a whole.
+/// Validation beyond the types of the fields.
 pub trait Validate {
-    /// All faults; none if the settings may be used.
+    /// All faults; empty if the settings are valid.
     fn faults(&self) -> Vec<Fault>;
 }
 
-/// Reads and checks the settings in `file`.
+/// Reads and validates the settings in `file`.
 ///
 /// # Errors
 ///
@@ -74,11 +74,11 @@
     }
 }
 
-/// Reads JSON without checks of its sense.
+/// Reads JSON without validating the values.
 ///
 /// # Errors
 ///
-/// `Unreadable` or `Malformed`.
+/// [`SettingsError::Unreadable`] or [`SettingsError::Malformed`].
 pub fn read<T: DeserializeOwned>(file: &Path) -> Result<T, SettingsError> {
     let text = fs::read_to_string(file).map_err(|cause| SettingsError::Unreadable {
         file: file.to_owned(),
--- a/crates/settings/src/router.rs
+++ b/crates/settings/src/router.rs
@@ -1,4 +1,4 @@
-//! The settings of `gooseberry-router`.
+//! Settings of `gooseberry-router`.
 
 use std::net::SocketAddr;
 
@@ -11,53 +11,53 @@
 use crate::common::{Log, address_fault, name_fault};
 use crate::load::Validate;
 
-/// The settings of a router.
+/// Settings of a router.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Router {
-    /// The name of the host.
+    /// Name of the host, as in the platform's host list.
     pub host: HostId,
-    /// Its data centre.
+    /// Data centre of the host.
     pub data_centre: DataCentre,
-    /// Where the process listens.
+    /// Addresses on which the router listens.
     pub listen: Listen,
-    /// Where the agent of this host takes calls.
+    /// Address on which this host's agent accepts calls.
     pub agent: SocketAddr,
-    /// Where the platform's table and object store are.
+    /// Address of the platform's table and object store.
     pub platform: SocketAddr,
-    /// The longest wait for the platform, in milliseconds.
+    /// Time limit of a call to the platform, in milliseconds.
     #[serde(default = "default_platform_ms")]
     pub platform_ms: u64,
-    /// The bounds on journals.
+    /// Limits on journals.
     #[serde(default)]
     pub journal: Limits,
-    /// How claims of calls that may not repeat share the table's writes.
+    /// How claims of non-retryable calls are batched into writes to the table.
     #[serde(default)]
     pub claims: Claims,
-    /// How long a planned stop waits for requests in flight, in milliseconds.
+    /// How long a planned shutdown waits for requests in flight, in milliseconds.
     #[serde(default = "default_drain_ms")]
     pub drain_ms: u64,
-    /// The digest of the operators' key, see [`base::hash::key_digest`]; without one no operator is
-    /// admitted.
+    /// Digest of the operators' key, see [`base::hash::key_digest`]; with `None`, operators' requests
+    /// are rejected.
     #[serde(default)]
     pub operator_digest: Option<String>,
-    /// The log.
+    /// Log level and format.
     #[serde(default)]
     pub log: Log,
-    /// Where metrics go, if anywhere.
+    /// Address of the statsd server; `None` turns metrics off.
     #[serde(default)]
     pub statsd: Option<SocketAddr>,
 }
 
-/// The addresses on which a router listens.
+/// Addresses on which a router listens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
-    /// For callers.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// For other routers.
+    /// Address for other routers.
     pub peers: SocketAddr,
-    /// For operators: state, readiness.
+    /// Address for operators: state and readiness.
     pub admin: SocketAddr,
 }
 
--- a/crates/settings/tests/errors.rs
+++ b/crates/settings/tests/errors.rs
@@ -1,4 +1,4 @@
-//! Errors in settings name the file, the place, what was found and what to write.
+//! Settings errors name the file, the path within it, the value found and a remedy.
 
 use std::path::PathBuf;
 
@@ -15,11 +15,11 @@
             }
             let loaded = settings::load::<Agent>(&path);
             let _ = std::fs::remove_file(&path);
-            let told = match loaded {
+            let message = match loaded {
                 Ok(_) => "correct".to_owned(),
                 Err(e) => e.to_string(),
             };
-            told.replace(&path.display().to_string(), "FILE") + "\n"
+            message.replace(&path.display().to_string(), "FILE") + "\n"
         });
     });
 }
--- a/crates/settings/tests/gateway_file.rs
+++ b/crates/settings/tests/gateway_file.rs
@@ -1,4 +1,4 @@
-//! The settings of a gateway: what the template writes, and what is wrong in a file.
+//! Gateway settings: a complete file, and the errors for invalid entries.
 
 use std::path::Path;
 
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn whole_file() {
+fn complete_file() {
     let settings = load(FILE).unwrap();
     assert_eq!(settings.host.as_str(), "front-1");
     assert_eq!(settings.retries.ratio, 0.8);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn wrong_entries() {
+fn invalid_entries() {
     for (from, to, place, remedy) in [
         ("\"front-1\"", "\"\"", "host", "write the name"),
         ("\"grace_s\": 8", "\"grace_s\": 0", "grace_s", "above 0"),
