--- a/crates/profiles/tests/commit.rs
+++ b/crates/profiles/tests/commit.rs
@@ -1,47 +1,47 @@
-//! Racing operators and lost answers, in random order: at most one proposal a version, and each
-//! outcome that is told is true.
+//! Concurrent operators with lost responses, in random order: at most one proposal is accepted per
+//! version, and every reported outcome agrees with the store.
 
 use base::prelude::*;
 use profiles::change::{Change, Proposal, Revision};
-use profiles::commit::{Commit, Outcome, Seen, Step, Written};
+use profiles::commit::{Commit, Outcome, Step, StoreState, WriteResult};
 use profiles::document::{Document, Workspace};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
-/// A store that keeps every accepted revision, and writes that are still under way.
+/// A store with all accepted revisions, and delayed writes that have not arrived yet.
 #[derive(Default)]
 struct Store {
     document: Document,
     revisions: Vec<Revision>,
-    late: Vec<(Version, Document, Revision)>,
+    delayed: Vec<(Version, Document, Revision)>,
 }
 
 impl Store {
-    fn seen(&self, base: Version) -> Seen {
+    fn read(&self, base: Version) -> StoreState {
         let next = self.revisions.iter().find(|r| r.version == base.next());
-        Seen {
+        StoreState {
             document: self.document.clone(),
             next: next.cloned(),
         }
     }
 
     fn write(&mut self, base: Version, document: Document, revision: Revision) -> bool {
-        let holds = self.document.version == base;
-        if holds {
+        let is_unchanged = self.document.version == base;
+        if is_unchanged {
             self.document = document;
             self.revisions.push(revision);
         }
-        holds
+        is_unchanged
     }
 
-    fn settle(&mut self) {
-        for (base, document, revision) in std::mem::take(&mut self.late) {
+    fn deliver_delayed(&mut self) {
+        for (base, document, revision) in std::mem::take(&mut self.delayed) {
             self.write(base, document, revision);
         }
     }
 }
 
-/// An operator's proposal on its way.
+/// An operator with a proposal in progress.
 struct Operator {
     base: Version,
     operation: OperationId,
@@ -67,35 +67,36 @@
             base,
             operation,
             commit: Commit::new(proposal, Millis(20)),
-            step: Step::Look,
+            step: Step::Read,
         }
     }
 
-    /// Carries out one step; `fault` decides what becomes of it.
+    /// Carries out one step. Fault 0 fails the read or leaves the write unsent, 1 delays the write and 2
+    /// loses its response; other values do no harm.
     fn run(&mut self, now: Millis, store: &mut Store, fault: u8) {
-        let step = std::mem::replace(&mut self.step, Step::Look);
+        let step = std::mem::replace(&mut self.step, Step::Read);
         self.step = match step {
-            Step::Look | Step::LookLater => {
-                let seen = (fault != 0).then(|| store.seen(self.base));
-                self.commit.looked(now, seen.as_ref())
+            Step::Read | Step::ReadLater => {
+                let state = (fault != 0).then(|| store.read(self.base));
+                self.commit.on_read(now, state.as_ref())
             }
             Step::Write(document, revision) => {
-                let written = match fault {
-                    0 => Written::Unsent,
+                let result = match fault {
+                    0 => WriteResult::Unsent,
                     1 => {
-                        store.late.push((self.base, document, revision));
-                        Written::Lost
+                        store.delayed.push((self.base, document, revision));
+                        WriteResult::Unanswered
                     }
                     2 => {
                         store.write(self.base, document, revision);
-                        Written::Lost
+                        WriteResult::Unanswered
                     }
-                    _ if store.write(self.base, document, revision) => Written::Committed,
-                    _ => Written::Conflict,
+                    _ if store.write(self.base, document, revision) => WriteResult::Committed,
+                    _ => WriteResult::Conflict,
                 };
-                self.commit.wrote(now, written)
+                self.commit.on_write(now, result)
             }
-            end @ Step::End(_) => end,
+            end @ Step::Finish(_) => end,
         };
     }
 }
@@ -109,27 +110,27 @@
     })]
 
     #[test]
-    fn outcomes_hold(script in prop::collection::vec((0..3_usize, 0..8_u8), 0..80)) {
+    fn outcomes_match_store(script in prop::collection::vec((0..3_usize, 0..8_u8), 0..80)) {
         let mut store = Store::default();
         let mut operators: Vec<Operator> = (0..3).map(|i| Operator::new(i, Version(0))).collect();
         for (now, (who, fault)) in (0..).zip(script) {
             if fault == 7 {
-                store.settle();
+                store.deliver_delayed();
             }
             operators[who].run(Millis(now), &mut store, fault);
         }
         for one in &mut operators {
-            while !matches!(one.step, Step::End(_)) {
+            while !matches!(one.step, Step::Finish(_)) {
                 one.run(Millis(1_000), &mut store, 0);
             }
         }
-        store.settle();
-        prop_assert!(store.revisions.len() <= 1, "one proposal a version");
+        store.deliver_delayed();
+        prop_assert!(store.revisions.len() <= 1, "at most one proposal per version");
         for one in &operators {
-            let is_in = store.revisions.iter().any(|r| r.operation == one.operation);
+            let is_stored = store.revisions.iter().any(|r| r.operation == one.operation);
             match &one.step {
-                Step::End(Outcome::Accepted { .. }) => prop_assert!(is_in),
-                Step::End(Outcome::Refused { .. } | Outcome::Unavailable) => prop_assert!(!is_in),
+                Step::Finish(Outcome::Accepted { .. }) => prop_assert!(is_stored),
+                Step::Finish(Outcome::Refused { .. } | Outcome::Unavailable) => prop_assert!(!is_stored),
                 _ => {}
             }
         }
@@ -137,24 +138,24 @@
 }
 
 #[test]
-fn lost_answer_read_back() {
+fn lost_response_read_back() {
     let mut store = Store::default();
     let mut one = Operator::new(0, Version(0));
-    // Read, written with the answer lost, read back.
+    // A read, a write whose response is lost, and a read that finds the revision.
     for fault in [3, 2, 3] {
         one.run(Millis(0), &mut store, fault);
     }
     let version = Version(1);
-    assert_eq!(one.step, Step::End(Outcome::Accepted { version }));
+    assert_eq!(one.step, Step::Finish(Outcome::Accepted { version }));
 }
 
 #[test]
-fn lost_answer_store_away() {
+fn lost_response_store_unavailable() {
     let mut store = Store::default();
     let mut one = Operator::new(0, Version(0));
     for (now, fault) in [(0, 3), (0, 2), (30, 0)] {
         one.run(Millis(now), &mut store, fault);
     }
     let operation = one.operation.clone();
-    assert_eq!(one.step, Step::End(Outcome::Unknown { operation }));
+    assert_eq!(one.step, Step::Finish(Outcome::Unknown { operation }));
 }
--- a/crates/relay/src/outcome.rs
+++ b/crates/relay/src/outcome.rs
@@ -93,7 +93,7 @@
             }
             Outcome::Failed | Outcome::Broken | Outcome::TimedOut => {
                 self.maybe_ran += 1;
-                if kind.may_repeat() && self.maybe_ran < attempts {
+                if kind.may_retry() && self.maybe_ran < attempts {
                     Action::Retry
                 } else {
                     self.without_retry(outcome)
