--- a/crates/gooseberry-bench/src/soak/callers.rs
+++ b/crates/gooseberry-bench/src/soak/callers.rs
@@ -146,7 +146,7 @@
         Kind::Safe | Kind::Once => caller::request(id, &path, PATIENCE_MS),
     };
     if kind == Kind::Draft && from > 0 {
-        caller::go_on(&mut request, from);
+        caller::resume_after(&mut request, from);
     }
     let work = async {
         match open.send(request).await {
--- a/crates/gooseberry-router/tests/site/mod.rs
+++ b/crates/gooseberry-router/tests/site/mod.rs
@@ -184,7 +184,7 @@
 
 /// How often a stand-in ran `key`.
 pub(crate) async fn runs(addr: SocketAddr, key: &str) -> u64 {
-    let runs: Vec<service::Runs> = web::client::get(addr, "/runs", LIMIT).await.expect("runs");
+    let runs: Vec<service::RunCount> = web::client::get(addr, "/runs", LIMIT).await.expect("runs");
     runs.iter().find(|r| r.key == key).map_or(0, |r| r.count)
 }
 
--- a/crates/gooseberry-standin/src/engine/batch.rs
+++ b/crates/gooseberry-standin/src/engine/batch.rs
@@ -18,27 +18,27 @@
 use crate::faults::Faults;
 
 /// The prompt bytes that count as one token.
-const TOKEN_BYTES: usize = 4;
+const BYTES_PER_TOKEN: usize = 4;
 
 /// The time between looks for streams without a reader.
-const SWEEP: Duration = Duration::from_secs(1);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A stream in its place.
-struct Place {
+struct Slot {
     stream: Arc<Stream>,
     /// When its first token is due.
-    ready: Instant,
+    first_due: Instant,
 }
 
 /// All that changes in an engine.
 struct Inner {
-    running: Vec<Place>,
+    running: Vec<Slot>,
     waiting: Vec<Arc<Stream>>,
     streams: Sorted<StreamName, Arc<Stream>>,
     cache: Cache,
     stats: Stats,
     orders: OrderState,
-    loads: Vec<(Instant, Load)>,
+    load_reports: Vec<(Instant, Load)>,
     random: StdRng,
 }
 
@@ -67,7 +67,7 @@
             cache: Cache::new(settings.cache_blocks, settings.event_loss),
             stats: Stats::default(),
             orders,
-            loads: Vec::new(),
+            load_reports: Vec::new(),
             random: StdRng::seed_from_u64(settings.seed),
         };
         Self {
@@ -96,19 +96,19 @@
             return Err(refusal(RefusalKind::Busy, "the queue is full"));
         }
         let blocks = prompt_blocks(&request.prompt);
-        let hits = inner.cache.hits(&blocks) * engine::wire::BLOCK_BYTES / TOKEN_BYTES;
-        let whole = request.prompt.len() / TOKEN_BYTES + request.prefix.len();
-        let prefill = whole.saturating_sub(hits) as u64;
+        let hits = inner.cache.hits(&blocks) * engine::wire::BLOCK_BYTES / BYTES_PER_TOKEN;
+        let total = request.prompt.len() / BYTES_PER_TOKEN + request.prefix.len();
+        let prefill = total.saturating_sub(hits) as u64;
         let stream = Arc::new(Stream::new(request, hits as u64, prefill));
         inner.stats.streams += 1;
         inner.stats.prefill += prefill;
-        if !is_first(&stream.request.stream) {
+        if !is_first_attempt(&stream.request.stream) {
             inner.stats.again += prefill;
         }
         inner.stats.cached += hits as u64;
         let mut drops = self.faults.state().drop_events;
         inner.cache.store(&blocks, &mut drops);
-        self.faults.with(|s| s.drop_events = drops);
+        self.faults.update(|s| s.drop_events = drops);
         let name = stream.request.stream.clone();
         inner.streams.insert(name, stream.clone());
         let priority = stream.request.priority;
@@ -167,15 +167,18 @@
             age_ms: 0,
         };
         if !faults.freeze_load {
-            inner.loads.push((now, current.clone()));
+            inner.load_reports.push((now, current.clone()));
         }
-        let is_out = |at: Instant| now.duration_since(at) >= lag;
+        let is_visible = |at: Instant| now.duration_since(at) >= lag;
         // The last report that is out stays; those before it are of no more use.
-        let last = inner.loads.iter().rposition(|(at, _)| is_out(*at));
+        let last = inner
+            .load_reports
+            .iter()
+            .rposition(|(at, _)| is_visible(*at));
         if let Some(i) = last {
-            inner.loads.drain(..i);
+            inner.load_reports.drain(..i);
         }
-        match inner.loads.first() {
+        match inner.load_reports.first() {
             Some((at, report)) => Load {
                 age_ms: now.duration_since(*at).as_millis() as u64,
                 // Whether an engine leaves does not lag: it refuses work by itself.
@@ -220,24 +223,24 @@
     fn step(&self) -> Duration {
         let mut inner = self.lock();
         let now = Instant::now();
-        let mut given = 0;
+        let mut emitted = 0;
         let mut ended = Vec::new();
-        inner.running.retain(|place| {
-            if place.ready > now {
+        inner.running.retain(|slot| {
+            if slot.first_due > now {
                 return true;
             }
-            given += 1;
-            let goes_on = place.stream.step();
-            if !goes_on {
-                ended.push(place.stream.clone());
+            emitted += 1;
+            let is_unfinished = slot.stream.step();
+            if !is_unfinished {
+                ended.push(slot.stream.clone());
             }
-            goes_on
+            is_unfinished
         });
-        inner.stats.decode += given;
+        inner.stats.decode += emitted;
         self.admit(&mut inner);
         let jitter = match self.settings.jitter_ms {
             0 => 0,
-            most => inner.random.random_range(0..=most),
+            max => inner.random.random_range(0..=max),
         };
         Duration::from_millis(self.settings.gap_ms + jitter)
     }
@@ -248,8 +251,8 @@
             let stream = inner.waiting.remove(0);
             let first = Duration::from_millis(self.settings.first_ms);
             let prefill = Duration::from_micros(self.settings.prefill_us * stream.prefill);
-            let ready = Instant::now() + first + prefill;
-            inner.running.push(Place { stream, ready });
+            let first_due = Instant::now() + first + prefill;
+            inner.running.push(Slot { stream, first_due });
         }
     }
 
@@ -257,14 +260,14 @@
     fn sweep(&self) {
         let linger = Duration::from_millis(self.settings.linger_ms);
         let mut inner = self.lock();
-        let is_left = |s: &Arc<Stream>| s.alone_since().is_some_and(|t| t.elapsed() >= linger);
-        let left: Vec<Arc<Stream>> = inner
+        let is_abandoned = |s: &Arc<Stream>| s.idle_since().is_some_and(|t| t.elapsed() >= linger);
+        let abandoned: Vec<Arc<Stream>> = inner
             .streams
             .iter()
-            .filter(|(_, s)| is_left(s))
+            .filter(|(_, s)| is_abandoned(s))
             .map(|(_, s)| s.clone())
             .collect();
-        for stream in left {
+        for stream in abandoned {
             inner.streams.remove(&stream.request.stream);
             drop_stream(&mut inner, &stream);
         }
@@ -277,19 +280,19 @@
 }
 
 /// Whether a stream is the first attempt of its generation, as its name tells.
-fn is_first(name: &StreamName) -> bool {
+fn is_first_attempt(name: &StreamName) -> bool {
     name.0.rsplit('-').next() == Some("1")
 }
 
 /// Steps the batch for ever.
 pub(super) async fn run(batch: Arc<Batch>) {
-    let mut swept = Instant::now();
+    let mut last_sweep = Instant::now();
     loop {
-        let pace = batch.step();
-        sleep(pace).await;
-        batch.faults.pause().await;
-        if swept.elapsed() >= SWEEP {
-            swept = Instant::now();
+        let step_time = batch.step();
+        sleep(step_time).await;
+        batch.faults.wait_paused().await;
+        if last_sweep.elapsed() >= SWEEP_INTERVAL {
+            last_sweep = Instant::now();
             batch.sweep();
         }
     }
--- a/crates/gooseberry-standin/src/engine/cache.rs
+++ b/crates/gooseberry-standin/src/engine/cache.rs
@@ -16,24 +16,24 @@
     blocks: VecDeque<u64>,
     events: VecDeque<(Instant, CacheEvent)>,
     seq: u64,
-    loss: u64,
+    lose_every: u64,
 }
 
 impl Cache {
-    pub(super) fn new(capacity: usize, loss: u64) -> Self {
+    pub(super) fn new(capacity: usize, lose_every: u64) -> Self {
         Self {
             capacity,
             blocks: VecDeque::new(),
             events: VecDeque::new(),
             seq: 0,
-            loss,
+            lose_every,
         }
     }
 
     /// How many of `blocks`, from the first on, are held.
     pub(super) fn hits(&self, blocks: &[u64]) -> usize {
-        let is_held = |b: &&u64| self.blocks.contains(b);
-        blocks.iter().take_while(is_held).count()
+        let is_cached = |b: &&u64| self.blocks.contains(b);
+        blocks.iter().take_while(is_cached).count()
     }
 
     /// Stores `blocks` as the most recently used.
@@ -43,13 +43,13 @@
                 Some(i) => {
                     self.blocks.remove(i);
                 }
-                None => self.note(*block, true, drop_events),
+                None => self.record_event(*block, true, drop_events),
             }
             self.blocks.push_back(*block);
         }
         while self.blocks.len() > self.capacity {
             if let Some(block) = self.blocks.pop_front() {
-                self.note(block, false, drop_events);
+                self.record_event(block, false, drop_events);
             }
         }
     }
@@ -64,9 +64,9 @@
             .collect()
     }
 
-    fn note(&mut self, block: u64, stored: bool, drop_events: &mut u64) {
+    fn record_event(&mut self, block: u64, stored: bool, drop_events: &mut u64) {
         self.seq += 1;
-        let is_lost = self.loss > 0 && self.seq.is_multiple_of(self.loss);
+        let is_lost = self.lose_every > 0 && self.seq.is_multiple_of(self.lose_every);
         if is_lost || *drop_events > 0 {
             *drop_events = drop_events.saturating_sub(1);
             return;
--- a/crates/gooseberry-standin/src/engine/http.rs
+++ b/crates/gooseberry-standin/src/engine/http.rs
@@ -14,16 +14,16 @@
 use super::stream::Stream;
 
 /// The largest request body, in bytes.
-const MAX_BYTES: usize = 16 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
 /// Answers one request.
 pub(super) async fn handle(batch: Arc<Batch>, request: Request<Incoming>) -> Response {
     let path = request.uri().path().to_owned();
     let query = request.uri().query().unwrap_or_default().to_owned();
     if path == "/faults" {
-        return batch.faults.switch(request).await;
+        return batch.faults.handle_request(request).await;
     }
-    batch.faults.hold().await;
+    batch.faults.inject_delay().await;
     if batch.faults.state().outage {
         return refuse(&refusal(
             RefusalKind::NotReady,
@@ -36,12 +36,12 @@
         (&Method::GET, "/v1/load") => ok(&batch.load()),
         (&Method::GET, "/v1/cache/events") => ok(&CacheEvents {
             incarnation: batch.incarnation,
-            events: batch.events(number(&query, "after")),
+            events: batch.events(query_number(&query, "after")),
         }),
         (&Method::GET, "/v1/orders") => ok(&batch.order_state()),
         (&Method::POST, "/v1/orders") => order(&batch, request).await,
         (&Method::GET, "/stats") => ok(&batch.stats()),
-        _ => stream(batch, &method, &path, number(&query, "offset")),
+        _ => stream(batch, &method, &path, query_number(&query, "offset")),
     }
 }
 
@@ -57,27 +57,27 @@
         return if was_known { ok(&()) } else { refuse(&unknown) };
     }
     match batch.stream(&name) {
-        Some(found) if offset >= found.start => read(batch, found, offset),
+        Some(found) if offset >= found.start => stream_tokens(batch, found, offset),
         _ => refuse(&unknown),
     }
 }
 
 async fn generate(batch: Arc<Batch>, request: Request<Incoming>) -> Response {
-    let body: Generate = match reply::read_json(request, MAX_BYTES).await {
+    let body: Generate = match reply::read_json(request, MAX_BODY_BYTES).await {
         Ok(body) => body,
         Err(e) => return refuse(&refusal(RefusalKind::Invalid, &e.to_string())),
     };
     match batch.generate(body) {
         Ok(stream) => {
             let start = stream.start;
-            read(batch, stream, start)
+            stream_tokens(batch, stream, start)
         }
         Err(refusal) => refuse(&refusal),
     }
 }
 
 async fn order(batch: &Arc<Batch>, request: Request<Incoming>) -> Response {
-    let body: Order = match reply::read_json(request, MAX_BYTES).await {
+    let body: Order = match reply::read_json(request, MAX_BODY_BYTES).await {
         Ok(body) => body,
         Err(e) => return refuse(&refusal(RefusalKind::Invalid, &e.to_string())),
     };
@@ -88,13 +88,13 @@
 }
 
 /// Starts to write a stream from `offset` on.
-fn read(batch: Arc<Batch>, stream: Arc<Stream>, offset: u64) -> Response {
+fn stream_tokens(batch: Arc<Batch>, stream: Arc<Stream>, offset: u64) -> Response {
     let (sender, response) = reply::events();
-    stream.join();
+    stream.add_reader();
     tokio::spawn(async move {
         // An error means that the reader is gone, which the count of readers tells.
         let _ = write(&batch, &stream, offset, sender).await;
-        stream.leave();
+        stream.remove_reader();
     });
     response
 }
@@ -107,7 +107,7 @@
     mut sender: BodySender,
 ) -> Result<(), StreamCut> {
     let number = batch.faults.open_stream();
-    let mut news = stream.subscribe();
+    let mut updates = stream.subscribe();
     let mut offset = offset;
     let start = Frame::Start {
         offset: Offset(offset),
@@ -142,20 +142,20 @@
             send(&mut sender, &frames).await?;
         }
         // The stream outlives its readers, so that its end of the channel is open.
-        let _ = news.changed().await;
-        batch.faults.pause().await;
+        let _ = updates.changed().await;
+        batch.faults.wait_paused().await;
     }
 }
 
 /// Writes frames as one piece.
 async fn send(sender: &mut BodySender, frames: &[Frame]) -> Result<(), StreamCut> {
-    let mut piece = Vec::new();
+    let mut buffer = Vec::new();
     for frame in frames {
-        piece.extend_from_slice(b"data: ");
-        serde_json::to_writer(&mut piece, frame).map_err(|_| StreamCut)?;
-        piece.extend_from_slice(b"\n\n");
+        buffer.extend_from_slice(b"data: ");
+        serde_json::to_writer(&mut buffer, frame).map_err(|_| StreamCut)?;
+        buffer.extend_from_slice(b"\n\n");
     }
-    let sent = sender.send_data(Bytes::from(piece)).await;
+    let sent = sender.send_data(Bytes::from(buffer)).await;
     sent.map_err(|_| StreamCut)
 }
 
@@ -182,7 +182,7 @@
 }
 
 /// The number called `name` in a query, or 0.
-fn number(query: &str, name: &str) -> u64 {
+fn query_number(query: &str, name: &str) -> u64 {
     query
         .split('&')
         .filter_map(|pair| pair.split_once('='))
--- a/crates/gooseberry-standin/src/engine/stream.rs
+++ b/crates/gooseberry-standin/src/engine/stream.rs
@@ -22,27 +22,31 @@
     finish: Finish,
     tokens: Mutex<Vec<Token>>,
     /// The offset after the last token.
-    next: watch::Sender<u64>,
+    next_offset: watch::Sender<u64>,
     readers: AtomicU64,
     /// Since when there is no reader.
-    alone: Mutex<Instant>,
+    idle_start: Mutex<Instant>,
     is_cancelled: AtomicBool,
 }
 
 impl Stream {
     pub(super) fn new(request: Generate, cached: u64, prefill: u64) -> Self {
-        let (length, stops) = sequence::length(&request.prompt, request.max_tokens);
+        let (length, is_stop) = sequence::length(&request.prompt, request.max_tokens);
         let start = request.prefix.len() as u64;
         Self {
             start,
             cached,
             prefill,
             length,
-            finish: if stops { Finish::Stop } else { Finish::Length },
+            finish: if is_stop {
+                Finish::Stop
+            } else {
+                Finish::Length
+            },
             tokens: Mutex::new(Vec::new()),
-            next: watch::Sender::new(start),
+            next_offset: watch::Sender::new(start),
             readers: AtomicU64::new(0),
-            alone: Mutex::new(Instant::now()),
+            idle_start: Mutex::new(Instant::now()),
             is_cancelled: AtomicBool::new(false),
             request,
         }
@@ -58,12 +62,12 @@
         let prompt = &self.request.prompt;
         let previous = tokens.last().map(|t| t.id);
         let token = match previous.or(self.request.prefix.last().copied()) {
-            Some(id) => sequence::following(prompt, id),
-            None => sequence::first(prompt, &self.request.stream.0),
+            Some(id) => sequence::next_token(prompt, id),
+            None => sequence::first_token(prompt, &self.request.stream.0),
         };
         tokens.push(token);
         drop(tokens);
-        self.next.send_replace(next + 1);
+        self.next_offset.send_replace(next + 1);
         next + 1 < self.length
     }
 
@@ -79,7 +83,7 @@
 
     /// A subscription to the offset after the last token.
     pub(super) fn subscribe(&self) -> watch::Receiver<u64> {
-        self.next.subscribe()
+        self.next_offset.subscribe()
     }
 
     /// The length of the whole output and why it ends there.
@@ -90,7 +94,7 @@
     pub(super) fn cancel(&self) {
         self.is_cancelled.store(true, Ordering::Relaxed);
         // Wakes the readers, who close their connections.
-        self.next.send_modify(|_| ());
+        self.next_offset.send_modify(|_| ());
     }
 
     pub(super) fn is_cancelled(&self) -> bool {
@@ -98,21 +102,21 @@
     }
 
     /// Counts a reader in.
-    pub(super) fn join(&self) {
+    pub(super) fn add_reader(&self) {
         self.readers.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Counts a reader out.
-    pub(super) fn leave(&self) {
+    pub(super) fn remove_reader(&self) {
         self.readers.fetch_sub(1, Ordering::Relaxed);
-        *self.alone.lock().unwrap_or_else(|e| e.into_inner()) = Instant::now();
+        *self.idle_start.lock().unwrap_or_else(|e| e.into_inner()) = Instant::now();
     }
 
     /// Since when there is no reader, if there is none.
-    pub(super) fn alone_since(&self) -> Option<Instant> {
+    pub(super) fn idle_since(&self) -> Option<Instant> {
         if self.readers.load(Ordering::Relaxed) > 0 {
             return None;
         }
-        Some(*self.alone.lock().unwrap_or_else(|e| e.into_inner()))
+        Some(*self.idle_start.lock().unwrap_or_else(|e| e.into_inner()))
     }
 }
--- a/crates/gooseberry-standin/src/faults.rs
+++ b/crates/gooseberry-standin/src/faults.rs
@@ -10,10 +10,10 @@
 use web::{Response, reply};
 
 /// The largest body of a fault switch, in bytes.
-const MAX_BYTES: usize = 4_096;
+const MAX_BODY_BYTES: usize = 4_096;
 
 /// The exit code of a process told to die.
-const DIED: i32 = 86;
+const FAULT_EXIT_CODE: i32 = 86;
 
 /// The body of `POST /faults`; fields left out keep their setting.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -44,11 +44,11 @@
 /// The faults in force.
 #[derive(Clone, Debug, Default)]
 pub struct State {
-    paused: Option<Instant>,
+    paused_until: Option<Instant>,
     /// How much later requests are answered.
     pub delay: Duration,
     /// Streams opened before this number are silent.
-    pub silenced: u64,
+    pub last_silenced: u64,
     /// Whether each request is refused.
     pub outage: bool,
     /// How many answers of writes are still to be lost.
@@ -73,18 +73,18 @@
 impl Faults {
     /// The faults in force now.
     pub fn state(&self) -> State {
-        self.with(|s| s.clone())
+        self.update(|s| s.clone())
     }
 
     /// Changes or reads the faults in force.
-    pub fn with<T>(&self, change: impl FnOnce(&mut State) -> T) -> T {
+    pub fn update<T>(&self, change: impl FnOnce(&mut State) -> T) -> T {
         let mut state = self.state.lock().unwrap_or_else(|e| e.into_inner());
         change(&mut state)
     }
 
     /// Waits out a pause and a delay.
-    pub async fn hold(&self) {
-        self.pause().await;
+    pub async fn inject_delay(&self) {
+        self.wait_paused().await;
         let delay = self.state().delay;
         if !delay.is_zero() {
             sleep(delay).await;
@@ -92,15 +92,15 @@
     }
 
     /// Waits out a pause.
-    pub async fn pause(&self) {
-        while let Some(until) = self.state().paused.filter(|t| *t > Instant::now()) {
+    pub async fn wait_paused(&self) {
+        while let Some(until) = self.state().paused_until.filter(|t| *t > Instant::now()) {
             sleep_until(until).await;
         }
     }
 
     /// Numbers a stream that is being opened.
     pub fn open_stream(&self) -> u64 {
-        self.with(|s| {
+        self.update(|s| {
             s.opened += 1;
             s.opened
         })
@@ -108,21 +108,21 @@
 
     /// Whether the stream of this number is silent.
     pub fn is_silent(&self, stream: u64) -> bool {
-        self.with(|s| stream <= s.silenced)
+        self.update(|s| stream <= s.last_silenced)
     }
 
     /// Whether the answer of a write that took effect is lost; counts down.
-    pub fn takes_answer(&self) -> bool {
-        self.with(|s| {
-            let takes = s.lose_answers > 0;
+    pub fn loses_answer(&self) -> bool {
+        self.update(|s| {
+            let is_lost = s.lose_answers > 0;
             s.lose_answers = s.lose_answers.saturating_sub(1);
-            takes
+            is_lost
         })
     }
 
     /// Ends the process if it was to end after this call.
     pub fn count_call(&self) {
-        let is_last = self.with(|s| match &mut s.die_after {
+        let is_last = self.update(|s| match &mut s.die_after {
             Some(0 | 1) => true,
             Some(left) => {
                 *left -= 1;
@@ -131,13 +131,13 @@
             None => false,
         });
         if is_last {
-            std::process::exit(DIED);
+            std::process::exit(FAULT_EXIT_CODE);
         }
     }
 
     /// Answers `POST /faults`.
-    pub async fn switch(&self, request: Request<Incoming>) -> Response {
-        let switch: Switch = match reply::read_json(request, MAX_BYTES).await {
+    pub async fn handle_request(&self, request: Request<Incoming>) -> Response {
+        let switch: Switch = match reply::read_json(request, MAX_BODY_BYTES).await {
             Ok(switch) => switch,
             Err(e) => return reply::json(StatusCode::BAD_REQUEST, &e.to_string()),
         };
@@ -148,17 +148,17 @@
     /// Puts a switch into force.
     pub fn apply(&self, switch: &Switch) {
         if switch.die {
-            std::process::exit(DIED);
+            std::process::exit(FAULT_EXIT_CODE);
         }
-        self.with(|s| {
+        self.update(|s| {
             if let Some(ms) = switch.pause_ms {
-                s.paused = Some(Instant::now() + Duration::from_millis(ms));
+                s.paused_until = Some(Instant::now() + Duration::from_millis(ms));
             }
             if let Some(ms) = switch.delay_ms {
                 s.delay = Duration::from_millis(ms);
             }
             if switch.silence {
-                s.silenced = s.opened;
+                s.last_silenced = s.opened;
             }
             s.outage = switch.outage.unwrap_or(s.outage);
             s.lose_answers = switch.lose_answers.unwrap_or(s.lose_answers);
--- a/crates/gooseberry-standin/src/main.rs
+++ b/crates/gooseberry-standin/src/main.rs
@@ -19,24 +19,24 @@
 enum Command {
     /// A model engine.
     #[bpaf(command)]
-    Engine(#[bpaf(external(place))] Place),
+    Engine(#[bpaf(external(server_args))] ServerArgs),
     /// A plain service.
     #[bpaf(command)]
-    Service(#[bpaf(external(place))] Place),
+    Service(#[bpaf(external(server_args))] ServerArgs),
     /// The platform: table, object store and host list.
     #[bpaf(command)]
-    Platform(#[bpaf(external(place))] Place),
+    Platform(#[bpaf(external(server_args))] ServerArgs),
     /// The store of the users' platform.
     #[bpaf(command)]
-    SiteStore(#[bpaf(external(place))] Place),
+    SiteStore(#[bpaf(external(server_args))] ServerArgs),
     /// A backend server of the users' platform.
     #[bpaf(command)]
-    SiteWorker(#[bpaf(external(place))] Place),
+    SiteWorker(#[bpaf(external(server_args))] ServerArgs),
 }
 
 /// Where a stand-in listens and what it is like.
 #[derive(Clone, Debug, Bpaf)]
-struct Place {
+struct ServerArgs {
     /// The JSON file with the settings.
     #[bpaf(short, long, argument("FILE"))]
     settings: Option<PathBuf>,
@@ -59,37 +59,37 @@
 
 async fn run(command: Command) -> Result<(), String> {
     let stop = CancellationToken::new();
-    let stopper = stop.clone();
+    let on_signal = stop.clone();
     tokio::spawn(async move {
         // Without a handler for the signal there is nothing to wait for.
         if tokio::signal::ctrl_c().await.is_ok() {
-            stopper.cancel();
+            on_signal.cancel();
         }
     });
     match command {
-        Command::Engine(place) => {
-            let mut settings: engine::Settings = load(&place)?;
-            let listener = bind(&place, &mut settings.listen).await?;
+        Command::Engine(args) => {
+            let mut settings: engine::Settings = read_settings(&args)?;
+            let listener = bind(&args, &mut settings.listen).await?;
             engine::run(listener, settings, stop).await;
         }
-        Command::Service(place) => {
-            let mut settings: service::Settings = load(&place)?;
-            let listener = bind(&place, &mut settings.listen).await?;
+        Command::Service(args) => {
+            let mut settings: service::Settings = read_settings(&args)?;
+            let listener = bind(&args, &mut settings.listen).await?;
             service::run(listener, settings, stop).await;
         }
-        Command::Platform(place) => {
-            let mut settings: platform::Settings = load(&place)?;
-            let listener = bind(&place, &mut settings.listen).await?;
+        Command::Platform(args) => {
+            let mut settings: platform::Settings = read_settings(&args)?;
+            let listener = bind(&args, &mut settings.listen).await?;
             platform::run(listener, settings, stop).await;
         }
-        Command::SiteStore(place) => {
-            let mut settings: store::Settings = load(&place)?;
-            let listener = bind(&place, &mut settings.listen).await?;
+        Command::SiteStore(args) => {
+            let mut settings: store::Settings = read_settings(&args)?;
+            let listener = bind(&args, &mut settings.listen).await?;
             store::run(listener, Arc::new(store::Store::default()), stop).await;
         }
-        Command::SiteWorker(place) => {
-            let mut settings: worker::Settings = load(&place)?;
-            let listener = bind(&place, &mut settings.listen).await?;
+        Command::SiteWorker(args) => {
+            let mut settings: worker::Settings = read_settings(&args)?;
+            let listener = bind(&args, &mut settings.listen).await?;
             worker::run(listener, settings, worker::Shared::default(), stop).await;
         }
     }
@@ -97,16 +97,16 @@
 }
 
 /// The settings in the file, or the defaults.
-fn load<T: DeserializeOwned + Default>(place: &Place) -> Result<T, String> {
-    let Some(file) = &place.settings else {
+fn read_settings<T: DeserializeOwned + Default>(args: &ServerArgs) -> Result<T, String> {
+    let Some(file) = &args.settings else {
         return Ok(T::default());
     };
     settings::load::read(file).map_err(|e: SettingsError| e.to_string())
 }
 
 /// Binds the address and prints where the stand-in listens.
-async fn bind(place: &Place, listen: &mut SocketAddr) -> Result<TcpListener, String> {
-    *listen = place.listen.unwrap_or(*listen);
+async fn bind(args: &ServerArgs, listen: &mut SocketAddr) -> Result<TcpListener, String> {
+    *listen = args.listen.unwrap_or(*listen);
     let listener = TcpListener::bind(*listen)
         .await
         .map_err(|e| format!("cannot listen on {listen}: {e}; choose another address"))?;
--- a/crates/gooseberry-standin/src/platform.rs
+++ b/crates/gooseberry-standin/src/platform.rs
@@ -74,12 +74,12 @@
 
 /// All that the platform keeps.
 #[derive(Debug, Default)]
-struct Kept {
+struct State {
     table: Table,
     objects: Sorted<String, Value>,
     hosts: Vec<(Instant, HostList)>,
     stats: Stats,
-    loads: usize,
+    weight_loads: usize,
     /// The second for which calls are counted, and the calls in it.
     window: Option<(Instant, u64, u64)>,
 }
@@ -89,44 +89,45 @@
 struct Platform {
     settings: Settings,
     faults: Faults,
-    kept: Mutex<Kept>,
+    state: Mutex<State>,
 }
 
 impl Platform {
     fn new(settings: Settings) -> Self {
-        let mut kept = Kept::default();
+        let mut state = State::default();
         let mut hosts = settings.hosts.clone();
         hosts.sort_by(|a, b| a.name.cmp(&b.name));
-        kept.hosts
+        state
+            .hosts
             .push((Instant::now(), HostList { revision: 1, hosts }));
         Self {
             settings,
             faults: Faults::default(),
-            kept: Mutex::new(kept),
+            state: Mutex::new(state),
         }
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Kept> {
-        self.kept.lock().unwrap_or_else(|e| e.into_inner())
+    fn lock(&self) -> std::sync::MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
 
     /// Counts a call against its rate; returns whether it may go on.
     fn admit(&self, is_write: bool) -> bool {
-        let mut kept = self.lock();
+        let mut state = self.lock();
         let now = Instant::now();
-        let is_fresh = |w: &(Instant, u64, u64)| now.duration_since(w.0) < Duration::from_secs(1);
-        let (start, reads, writes) = kept.window.filter(is_fresh).unwrap_or((now, 0, 0));
+        let is_current = |w: &(Instant, u64, u64)| now.duration_since(w.0) < Duration::from_secs(1);
+        let (start, reads, writes) = state.window.filter(is_current).unwrap_or((now, 0, 0));
         let (reads, writes) = if is_write {
             (reads, writes + 1)
         } else {
             (reads + 1, writes)
         };
-        kept.window = Some((start, reads, writes));
+        state.window = Some((start, reads, writes));
         let is_over = reads > self.settings.reads || writes > self.settings.writes;
         match (is_over, is_write) {
-            (true, _) => kept.stats.throttled += 1,
-            (false, true) => kept.stats.writes += 1,
-            (false, false) => kept.stats.reads += 1,
+            (true, _) => state.stats.throttled += 1,
+            (false, true) => state.stats.writes += 1,
+            (false, false) => state.stats.reads += 1,
         }
         !is_over
     }
@@ -134,16 +135,16 @@
     /// The host list as it was some time ago.
     fn hosts(&self) -> HostList {
         let lag = Duration::from_millis(self.settings.lag_ms);
-        let kept = self.lock();
-        let is_out = |(at, _): &&(Instant, HostList)| at.elapsed() >= lag;
-        let newest = kept.hosts.iter().rfind(is_out).or(kept.hosts.first());
+        let state = self.lock();
+        let is_visible = |(at, _): &&(Instant, HostList)| at.elapsed() >= lag;
+        let newest = state.hosts.iter().rfind(is_visible).or(state.hosts.first());
         newest.map(|(_, list)| list.clone()).unwrap_or_default()
     }
 
     /// Puts an entry into the host list.
     fn put_host(&self, host: Host) {
-        let mut kept = self.lock();
-        let mut list = kept
+        let mut state = self.lock();
+        let mut list = state
             .hosts
             .last()
             .map(|(_, l)| l.clone())
@@ -153,20 +154,20 @@
             Ok(i) => list.hosts[i] = host,
             Err(i) => list.hosts.insert(i, host),
         }
-        kept.hosts.push((Instant::now(), list));
+        state.hosts.push((Instant::now(), list));
     }
 
     /// Takes an entry out of the host list.
     fn remove_host(&self, name: &str) {
-        let mut kept = self.lock();
-        let mut list = kept
+        let mut state = self.lock();
+        let mut list = state
             .hosts
             .last()
             .map(|(_, l)| l.clone())
             .unwrap_or_default();
         list.revision += 1;
         list.hosts.retain(|h| h.name != name);
-        kept.hosts.push((Instant::now(), list));
+        state.hosts.push((Instant::now(), list));
     }
 }
 
--- a/crates/gooseberry-standin/src/platform/http.rs
+++ b/crates/gooseberry-standin/src/platform/http.rs
@@ -14,15 +14,15 @@
 use super::Platform;
 
 /// The largest request body, in bytes.
-const MAX_BYTES: usize = 32 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 32 * 1024 * 1024;
 
 /// Answers one request.
 pub(super) async fn handle(platform: Arc<Platform>, request: Request<Incoming>) -> Response {
     let path = request.uri().path().to_owned();
     match path.as_str() {
-        "/faults" => return platform.faults.switch(request).await,
+        "/faults" => return platform.faults.handle_request(request).await,
         "/stats" => return reply::json(StatusCode::OK, &platform.lock().stats),
-        _ => platform.faults.hold().await,
+        _ => platform.faults.inject_delay().await,
     }
     if platform.faults.state().outage {
         let message = "the platform is out of order; try again later";
@@ -40,9 +40,9 @@
         settings.read_ms
     };
     sleep(Duration::from_millis(ms)).await;
-    let response = carry_out(&platform, request, &path).await;
-    if is_write && platform.faults.takes_answer() {
-        return lost();
+    let response = execute(&platform, request, &path).await;
+    if is_write && platform.faults.loses_answer() {
+        return truncated_response();
     }
     response
 }
@@ -53,13 +53,13 @@
 }
 
 /// An answer that breaks off before its first byte of body.
-fn lost() -> Response {
+fn truncated_response() -> Response {
     let (sender, response) = reply::events();
     sender.abort(StreamCut);
     response
 }
 
-async fn carry_out(platform: &Platform, request: Request<Incoming>, path: &str) -> Response {
+async fn execute(platform: &Platform, request: Request<Incoming>, path: &str) -> Response {
     let method = request.method().clone();
     if let Some(name) = path.strip_prefix("/v1/objects/") {
         return object(platform, request, name).await;
@@ -69,43 +69,45 @@
         return ok(&());
     }
     if path.starts_with("/v1/weights/") {
-        return weights(platform).await;
+        return load_weights(platform).await;
     }
     match (method, path) {
         (Method::GET, "/v1/hosts") => {
             let list = platform.hosts();
-            let held = format!("after={}", list.revision);
+            let unchanged = format!("after={}", list.revision);
             // A reader that holds this list is told just that.
-            let is_held = request.uri().query() == Some(held.as_str());
-            ok(&(!is_held).then_some(list))
+            let is_unchanged = request.uri().query() == Some(unchanged.as_str());
+            ok(&(!is_unchanged).then_some(list))
         }
-        (Method::POST, "/v1/hosts") => match reply::read_json::<Host>(request, MAX_BYTES).await {
-            Ok(host) => {
-                platform.put_host(host);
-                ok(&())
+        (Method::POST, "/v1/hosts") => {
+            match reply::read_json::<Host>(request, MAX_BODY_BYTES).await {
+                Ok(host) => {
+                    platform.put_host(host);
+                    ok(&())
+                }
+                Err(e) => bad_request(&e),
             }
-            Err(e) => bad(&e),
-        },
+        }
         (Method::POST, "/v1/table/transact") => {
-            match reply::read_json::<Transact>(request, MAX_BYTES).await {
+            match reply::read_json::<Transact>(request, MAX_BODY_BYTES).await {
                 Ok(body) => ok(&platform.lock().table.transact(&body.ops)),
-                Err(e) => bad(&e),
+                Err(e) => bad_request(&e),
             }
         }
         (Method::POST, "/v1/table/read") => {
-            match reply::read_json::<Read>(request, MAX_BYTES).await {
+            match reply::read_json::<Read>(request, MAX_BODY_BYTES).await {
                 Ok(body) => {
-                    let kept = platform.lock();
-                    let rows: Vec<_> = body.keys.iter().map(|k| kept.table.read(k)).collect();
+                    let state = platform.lock();
+                    let rows: Vec<_> = body.keys.iter().map(|k| state.table.read(k)).collect();
                     ok(&rows)
                 }
-                Err(e) => bad(&e),
+                Err(e) => bad_request(&e),
             }
         }
         (Method::POST, "/v1/table/scan") => {
-            match reply::read_json::<Scan>(request, MAX_BYTES).await {
+            match reply::read_json::<Scan>(request, MAX_BODY_BYTES).await {
                 Ok(body) => ok(&platform.lock().table.scan(&body)),
-                Err(e) => bad(&e),
+                Err(e) => bad_request(&e),
             }
         }
         _ => reply::json(StatusCode::NOT_FOUND, &"no such path"),
@@ -114,34 +116,34 @@
 
 async fn object(platform: &Platform, request: Request<Incoming>, name: &str) -> Response {
     if request.method() == Method::GET {
-        let kept = platform.lock();
-        return ok(&kept.objects.get(&name.to_owned()));
+        let state = platform.lock();
+        return ok(&state.objects.get(&name.to_owned()));
     }
     if request.method() == Method::DELETE {
         platform.lock().objects.remove(&name.to_owned());
         return ok(&());
     }
-    match reply::read_json::<Value>(request, MAX_BYTES).await {
+    match reply::read_json::<Value>(request, MAX_BODY_BYTES).await {
         Ok(value) => {
             platform.lock().objects.insert(name.to_owned(), value);
             ok(&())
         }
-        Err(e) => bad(&e),
+        Err(e) => bad_request(&e),
     }
 }
 
 /// Answers a load of weights, or refuses it if too many run.
-async fn weights(platform: &Platform) -> Response {
+async fn load_weights(platform: &Platform) -> Response {
     {
-        let mut kept = platform.lock();
-        if kept.loads >= platform.settings.weight_loads {
+        let mut state = platform.lock();
+        if state.weight_loads >= platform.settings.weight_loads {
             let message = "too many weight loads at once; try again later";
             return reply::json(StatusCode::TOO_MANY_REQUESTS, &message);
         }
-        kept.loads += 1;
+        state.weight_loads += 1;
     }
     sleep(Duration::from_millis(platform.settings.weights_ms)).await;
-    platform.lock().loads -= 1;
+    platform.lock().weight_loads -= 1;
     ok(&())
 }
 
@@ -149,6 +151,6 @@
     reply::json(StatusCode::OK, value)
 }
 
-fn bad(error: &reply::BodyError) -> Response {
+fn bad_request(error: &reply::BodyError) -> Response {
     reply::json(StatusCode::BAD_REQUEST, &error.to_string())
 }
--- a/crates/gooseberry-standin/src/platform/table.rs
+++ b/crates/gooseberry-standin/src/platform/table.rs
@@ -15,23 +15,23 @@
 #[derive(Debug, Default)]
 pub(super) struct Table {
     rows: Sorted<String, Cell>,
-    writes: u64,
+    last_version: u64,
 }
 
 impl Table {
     /// Carries out all operations, or none if a condition does not hold.
     pub(super) fn transact(&mut self, ops: &[Op]) -> Outcome {
-        let unmet: Vec<Found> = ops
+        let failed: Vec<Found> = ops
             .iter()
             .enumerate()
-            .filter(|(_, op)| !self.holds(op))
+            .filter(|(_, op)| !self.is_met(op))
             .map(|(index, op)| Found {
                 index,
                 row: self.read(&op.key),
             })
             .collect();
-        if !unmet.is_empty() {
-            return Outcome::Conflict(unmet);
+        if !failed.is_empty() {
+            return Outcome::Conflict(failed);
         }
         Outcome::Committed(ops.iter().map(|op| self.apply(op)).collect())
     }
@@ -55,12 +55,12 @@
             .collect()
     }
 
-    fn holds(&self, op: &Op) -> bool {
+    fn is_met(&self, op: &Op) -> bool {
         let version = self.rows.get(&op.key).map(|c| c.version);
         match op.expect {
             Expect::Any => true,
             Expect::Absent => version.is_none(),
-            Expect::Version(wanted) => version == Some(wanted),
+            Expect::Version(expected) => version == Some(expected),
         }
     }
 
@@ -72,13 +72,13 @@
                 0
             }
             Write::Put(value) => {
-                self.writes += 1;
+                self.last_version += 1;
                 let cell = Cell {
-                    version: self.writes,
+                    version: self.last_version,
                     value: value.clone(),
                 };
                 self.rows.insert(op.key.clone(), cell);
-                self.writes
+                self.last_version
             }
         }
     }
--- a/crates/gooseberry-standin/src/sequence.rs
+++ b/crates/gooseberry-standin/src/sequence.rs
@@ -10,16 +10,16 @@
 const STOP_EVERY: u64 = 4;
 
 /// The token at offset 0 of a stream called `stream`.
-pub fn first(prompt: &str, stream: &str) -> Token {
-    token(stable(stream.as_bytes()) ^ stable(prompt.as_bytes()))
+pub fn first_token(prompt: &str, stream: &str) -> Token {
+    token_from(stable(stream.as_bytes()) ^ stable(prompt.as_bytes()))
 }
 
 /// The token that follows `previous`.
-pub fn following(prompt: &str, previous: u32) -> Token {
+pub fn next_token(prompt: &str, previous: u32) -> Token {
     let mut seed = [0; 12];
     seed[..8].copy_from_slice(&stable(prompt.as_bytes()).to_le_bytes());
     seed[8..].copy_from_slice(&previous.to_le_bytes());
-    token(stable(&seed))
+    token_from(stable(&seed))
 }
 
 /// The number of tokens in the whole output, and whether the model ended it by itself.
@@ -32,11 +32,11 @@
 
 /// What is wrong with a text as an answer to `prompt`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Flaw {
+pub enum SequenceError {
     /// The token at this place does not follow the one before it.
-    Chain(usize),
+    Mismatch(usize),
     /// The text is not made of tokens.
-    Shape(usize),
+    Malformed(usize),
 }
 
 /// Checks that a text is an unbroken sequence of tokens, and returns how many.
@@ -44,13 +44,13 @@
 /// # Errors
 ///
 /// The first [`Flaw`].
-pub fn check(prompt: &str, text: &str) -> Result<u64, Flaw> {
+pub fn check(prompt: &str, text: &str) -> Result<u64, SequenceError> {
     let mut previous = None;
     let mut count = 0;
     for (i, word) in text.split_whitespace().enumerate() {
-        let id = u32::from_str_radix(word, 16).map_err(|_| Flaw::Shape(i))?;
-        if previous.is_some_and(|p| following(prompt, p).id != id) {
-            return Err(Flaw::Chain(i));
+        let id = u32::from_str_radix(word, 16).map_err(|_| SequenceError::Malformed(i))?;
+        if previous.is_some_and(|p| next_token(prompt, p).id != id) {
+            return Err(SequenceError::Mismatch(i));
         }
         previous = Some(id);
         count += 1;
@@ -59,7 +59,7 @@
 }
 
 /// A token whose text shows its index.
-fn token(seed: u64) -> Token {
+fn token_from(seed: u64) -> Token {
     let id = (seed ^ (seed >> 32)) as u32;
     Token {
         id,
--- a/crates/gooseberry-standin/src/service.rs
+++ b/crates/gooseberry-standin/src/service.rs
@@ -20,7 +20,7 @@
 use crate::faults::Faults;
 
 /// The largest request body, in bytes.
-const MAX_BYTES: usize = 16 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
 /// The header that names a request.
 const KEY_HEADER: &str = "idempotency-key";
@@ -53,7 +53,7 @@
 
 /// How often a key was run; a list of these answers `GET /runs`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Runs {
+pub struct RunCount {
     /// The key.
     pub key: String,
     /// How often its call ran.
@@ -99,8 +99,8 @@
 
 async fn handle(service: Arc<Service>, request: Request<Incoming>) -> Response {
     match (request.method(), request.uri().path()) {
-        (_, "/faults") => return service.faults.switch(request).await,
-        (&Method::GET, "/runs") => return reply::json(StatusCode::OK, &service.list()),
+        (_, "/faults") => return service.faults.handle_request(request).await,
+        (&Method::GET, "/runs") => return reply::json(StatusCode::OK, &service.run_counts()),
         (&Method::GET, "/v1/load") => return reply::json(StatusCode::OK, &service.load()),
         // What is asked of engines only is no call of this service.
         (&Method::GET, "/v1/cache/events") => {
@@ -112,27 +112,27 @@
         let message = "the server is leaving; nothing was run";
         return reply::json(StatusCode::SERVICE_UNAVAILABLE, &message);
     }
-    work(&service, request).await
+    run_call(&service, request).await
 }
 
 /// Runs one call.
-async fn work(service: &Service, request: Request<Incoming>) -> Response {
+async fn run_call(service: &Service, request: Request<Incoming>) -> Response {
     let path = request.uri().path().to_owned();
     let key = request.headers().get(KEY_HEADER);
     let key = key
         .and_then(|v| v.to_str().ok())
         .unwrap_or_default()
         .to_owned();
-    let body = match reply::read_bytes(request.into_body(), MAX_BYTES).await {
+    let body = match reply::read_bytes(request.into_body(), MAX_BODY_BYTES).await {
         Ok(body) => String::from_utf8_lossy(&body).into_owned(),
         Err(e) => return reply::json(StatusCode::BAD_REQUEST, &e.to_string()),
     };
     let run = service.count(&key);
-    change(&service.running, 1);
+    adjust(&service.running, 1);
     sleep(Duration::from_millis(service.settings.work_ms)).await;
     service.faults.count_call();
-    service.faults.hold().await;
-    change(&service.running, -1);
+    service.faults.inject_delay().await;
+    adjust(&service.running, -1);
     let receipt = Receipt {
         key,
         run,
@@ -146,7 +146,7 @@
     /// Counts a run of `key` and returns its number over all keys.
     fn count(&self, key: &str) -> u64 {
         if let Some(file) = &self.settings.record {
-            record(file, key);
+            append_key(file, key);
         }
         let mut runs = self.runs.lock().unwrap_or_else(|e| e.into_inner());
         *runs.entry(key.to_owned(), || 0) += 1;
@@ -155,13 +155,13 @@
         *total
     }
 
-    fn list(&self) -> Vec<Runs> {
+    fn run_counts(&self) -> Vec<RunCount> {
         let runs = self.runs.lock().unwrap_or_else(|e| e.into_inner());
-        let one = |(key, count): (&String, &u64)| Runs {
+        let run_count = |(key, count): (&String, &u64)| RunCount {
             key: key.clone(),
             count: *count,
         };
-        runs.iter().map(one).collect()
+        runs.iter().map(run_count).collect()
     }
 
     fn load(&self) -> Load {
@@ -176,20 +176,20 @@
 }
 
 /// Adds a key to the file; what is written stays when the process is killed.
-pub(crate) fn record(file: &PathBuf, key: &str) {
+pub(crate) fn append_key(file: &PathBuf, key: &str) {
     let opened = std::fs::File::options()
         .create(true)
         .append(true)
         .open(file);
-    let written = opened.and_then(|mut f| f.write_all(format!("{key}\n").as_bytes()));
-    if let Err(e) = written {
+    let result = opened.and_then(|mut f| f.write_all(format!("{key}\n").as_bytes()));
+    if let Err(e) = result {
         // A run that is not counted would make the measurement worthless.
         eprintln!("{}: {e}; name a file that can be written", file.display());
         std::process::abort();
     }
 }
 
-fn change(count: &Mutex<u64>, by: i64) {
+fn adjust(count: &Mutex<u64>, by: i64) {
     let mut count = count.lock().unwrap_or_else(|e| e.into_inner());
     *count = count.saturating_add_signed(by);
 }
--- a/crates/gooseberry-standin/src/site/caller.rs
+++ b/crates/gooseberry-standin/src/site/caller.rs
@@ -42,14 +42,14 @@
 }
 
 /// A request to `path`, which waits for `patience_ms`; its body is its id.
-pub fn request(id: &str, path: &str, patience_ms: u64) -> Request<Full<Bytes>> {
+pub fn request(id: &str, path: &str, deadline_ms: u64) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(Bytes::from(id.to_owned())));
     *request.method_mut() = hyper::Method::POST;
     *request.uri_mut() = path.parse().unwrap_or_default();
     let fields = [
         ("host", HOST.to_owned()),
         ("attempt-id", id.to_owned()),
-        ("deadline-ms", patience_ms.to_string()),
+        ("deadline-ms", deadline_ms.to_string()),
         ("x-api-key", KEY.to_owned()),
     ];
     for (name, value) in fields {
@@ -61,8 +61,8 @@
 }
 
 /// A request for a stream.
-pub fn generation(id: &str, path: &str, patience_ms: u64) -> Request<Full<Bytes>> {
-    let mut request = request(id, path, patience_ms);
+pub fn generation(id: &str, path: &str, deadline_ms: u64) -> Request<Full<Bytes>> {
+    let mut request = request(id, path, deadline_ms);
     if let Ok(tokens) = "1000,210".parse() {
         request.headers_mut().insert("token-count", tokens);
     }
@@ -70,7 +70,7 @@
 }
 
 /// Has the stream of a request go on behind the event `last`.
-pub fn go_on(request: &mut Request<Full<Bytes>>, last: u64) {
+pub fn resume_after(request: &mut Request<Full<Bytes>>, last: u64) {
     if let Ok(value) = last.to_string().parse() {
         request.headers_mut().insert("last-event-id", value);
     }
--- a/crates/gooseberry-standin/src/site/documents.rs
+++ b/crates/gooseberry-standin/src/site/documents.rs
@@ -46,10 +46,10 @@
 }
 
 /// The row of a backend server; `state` is `ready` or `draining`.
-pub fn row(addr: SocketAddr, is_engine: bool, centre: &str, state: &str, born: u64) -> Value {
+pub fn row(addr: SocketAddr, is_engine: bool, data_centre: &str, state: &str, start: u64) -> Value {
     let service = if is_engine { "draft" } else { "crew" };
     json!({
-        "service": service, "addr": addr, "zone": centre, "version": "v1", "slots": 8,
-        "state": state, "cold-left-ms": 0, "seq": 1, "born": born,
+        "service": service, "addr": addr, "zone": data_centre, "version": "v1", "slots": 8,
+        "state": state, "cold-left-ms": 0, "seq": 1, "born": start,
     })
 }
--- a/crates/gooseberry-standin/src/site/store.rs
+++ b/crates/gooseberry-standin/src/site/store.rs
@@ -19,7 +19,7 @@
 use crate::site::response;
 
 /// The largest body of a call, in bytes.
-const MAX_BYTES: usize = 1 << 20;
+const MAX_BODY_BYTES: usize = 1 << 20;
 
 /// The most rows in one answer.
 const MAX_ROWS: usize = 500;
@@ -65,7 +65,7 @@
     rows: Vec<Row>,
     revision: u64,
     /// Changes up to this revision are no longer told.
-    forgotten: u64,
+    compacted: u64,
 }
 
 /// A store.
@@ -86,23 +86,23 @@
 
     /// Forgets the history: earlier changes are no longer told.
     pub fn compact(&self) {
-        let mut rows = self.rows();
-        rows.forgotten = rows.revision;
+        let mut rows = self.lock();
+        rows.compacted = rows.revision;
     }
 
     /// The value of a row.
     pub fn get(&self, table: &str, key: &str) -> Option<Vec<u8>> {
-        let rows = self.rows();
+        let rows = self.lock();
         let row = rows.rows.iter().find(|r| r.table == table && r.key == key);
         row.and_then(|r| r.value.clone())
     }
 
-    fn rows(&self) -> MutexGuard<'_, Rows> {
+    fn lock(&self) -> MutexGuard<'_, Rows> {
         self.rows.lock().unwrap_or_else(|e| e.into_inner())
     }
 
     fn write(&self, table: &str, key: &str, value: Option<Vec<u8>>) {
-        let mut rows = self.rows();
+        let mut rows = self.lock();
         rows.revision += 1;
         let revision = rows.revision;
         rows.rows.retain(|r| r.table != table || r.key != key);
@@ -126,7 +126,7 @@
 async fn handle(store: Arc<Store>, request: Request<Incoming>) -> Response {
     let path = request.uri().path().to_owned();
     match path.as_str() {
-        "/faults" => return store.faults.switch(request).await,
+        "/faults" => return store.faults.handle_request(request).await,
         "/standin/put" => return put(&store, request).await,
         "/standin/compact" => {
             store.compact();
@@ -134,7 +134,7 @@
         }
         _ => {}
     }
-    store.faults.hold().await;
+    store.faults.inject_delay().await;
     if store.faults.state().outage {
         return response(StatusCode::SERVICE_UNAVAILABLE, &[], "");
     }
@@ -147,7 +147,7 @@
 }
 
 async fn put(store: &Store, request: Request<Incoming>) -> Response {
-    match reply::read_json::<Put>(request, MAX_BYTES).await {
+    match reply::read_json::<Put>(request, MAX_BODY_BYTES).await {
         Ok(body) => {
             store.put(&body);
             response(StatusCode::OK, &[], "")
@@ -174,7 +174,7 @@
     let from = parameter(request, "from").unwrap_or_default();
     // The system asks for the keys behind one by adding a zero byte to it.
     let after = from.strip_suffix("%00");
-    let rows = store.rows();
+    let rows = store.lock();
     let mut found: Vec<&Row> = rows
         .rows
         .iter()
@@ -191,7 +191,7 @@
     let table = parameter(request, "table").unwrap_or_default();
     let since = number(request, "since-rev");
     let wait = Duration::from_millis(number(request, "wait-ms"));
-    let end = tokio::time::Instant::now() + wait;
+    let deadline = tokio::time::Instant::now() + wait;
     loop {
         let changed = store.changed.notified();
         tokio::pin!(changed);
@@ -199,16 +199,16 @@
         if let Some(answer) = changes(store, table, since) {
             return answer;
         }
-        if tokio::time::timeout_at(end, changed).await.is_err() {
-            return answer(&[], store.rows().revision, false);
+        if tokio::time::timeout_at(deadline, changed).await.is_err() {
+            return answer(&[], store.lock().revision, false);
         }
     }
 }
 
 /// The changes behind `since`, if there are any or they were forgotten.
 fn changes(store: &Store, table: &str, since: u64) -> Option<Response> {
-    let rows = store.rows();
-    if since < rows.forgotten {
+    let rows = store.lock();
+    if since < rows.compacted {
         return Some(response(StatusCode::GONE, &[], ""));
     }
     let mut found: Vec<&Row> = rows
@@ -221,7 +221,7 @@
 }
 
 async fn transact(store: &Store, request: Request<Incoming>) -> Response {
-    let body: Value = match reply::read_json(request, MAX_BYTES).await {
+    let body: Value = match reply::read_json(request, MAX_BODY_BYTES).await {
         Ok(body) => body,
         Err(e) => return response(StatusCode::BAD_REQUEST, &[], e.to_string()),
     };
@@ -234,7 +234,7 @@
     for row in entries("delete") {
         write(store, &row, None);
     }
-    let revision = store.rows().revision;
+    let revision = store.lock().revision;
     reply::json(StatusCode::OK, &json!({"ver": revision, "now-ms": 0}))
 }
 
--- a/crates/gooseberry-standin/src/site/worker.rs
+++ b/crates/gooseberry-standin/src/site/worker.rs
@@ -21,11 +21,11 @@
 use web::{BodySender, Response, StreamCut, reply};
 
 use crate::faults::Faults;
-use crate::service::record;
+use crate::service::append_key;
 use crate::site::response;
 
 /// The largest request body, in bytes.
-const MAX_BYTES: usize = 16 << 20;
+const MAX_BODY_BYTES: usize = 16 << 20;
 
 /// The seal of each answer.
 const SEAL: &str = "3e1b.07.5a2";
@@ -95,7 +95,7 @@
 
 /// A request as a backend server saw it.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ReceivedRequest {
     /// The id of the attempt.
     pub id: String,
     /// The path and query.
@@ -110,23 +110,23 @@
 #[derive(Clone, Debug, Default)]
 pub struct Shared {
     /// Every request that ran, in order.
-    seen: Arc<Mutex<Vec<Seen>>>,
+    received: Arc<Mutex<Vec<ReceivedRequest>>>,
     /// Requests whose caller left before the answer was whole.
-    left: Arc<Mutex<Vec<String>>>,
+    abandoned: Arc<Mutex<Vec<String>>>,
     /// Copies of running streams: who holds them, of which request.
-    copies: Arc<Mutex<Vec<(SocketAddr, String)>>>,
+    backups: Arc<Mutex<Vec<(SocketAddr, String)>>>,
 }
 
 impl Shared {
     /// The requests that ran with this id.
-    pub fn runs(&self, id: &str) -> Vec<Seen> {
-        let seen = lock(&self.seen);
-        seen.iter().filter(|s| s.id == id).cloned().collect()
+    pub fn runs(&self, id: &str) -> Vec<ReceivedRequest> {
+        let received = lock(&self.received);
+        received.iter().filter(|s| s.id == id).cloned().collect()
     }
 
     /// Whether the caller of a request left before the answer was whole.
     pub fn has_left(&self, id: &str) -> bool {
-        lock(&self.left).iter().any(|l| l == id)
+        lock(&self.abandoned).iter().any(|l| l == id)
     }
 }
 
@@ -140,17 +140,17 @@
 }
 
 /// Counts a request while it runs, and notes whether its caller left.
-struct Running {
+struct InFlight {
     worker: Arc<Worker>,
     id: String,
-    is_whole: bool,
+    is_complete: bool,
 }
 
-impl Drop for Running {
+impl Drop for InFlight {
     fn drop(&mut self) {
         *lock(&self.worker.running) -= 1;
-        if !self.is_whole {
-            lock(&self.worker.shared.left).push(self.id.clone());
+        if !self.is_complete {
+            lock(&self.worker.shared.abandoned).push(self.id.clone());
         }
     }
 }
@@ -176,39 +176,39 @@
 
 async fn handle(worker: Arc<Worker>, request: Request<Incoming>) -> Response {
     match request.uri().path() {
-        "/faults" => return worker.faults.switch(request).await,
+        "/faults" => return worker.faults.handle_request(request).await,
         "/report" if worker.settings.engine => return report(&worker),
-        "/kv-move" if worker.settings.engine => return copy(&worker, request).await,
+        "/kv-move" if worker.settings.engine => return move_kv(&worker, request).await,
         _ => {}
     }
-    let expected = text(request.headers(), "expect-instance");
+    let expected = header(request.headers(), "expect-instance");
     if !expected.is_empty() && expected != worker.settings.id {
         let headers = [("instance-id", worker.settings.id.as_str())];
         return response(StatusCode::MISDIRECTED_REQUEST, &headers, "");
     }
-    work(worker, request).await
+    run_request(worker, request).await
 }
 
-async fn work(worker: Arc<Worker>, request: Request<Incoming>) -> Response {
+async fn run_request(worker: Arc<Worker>, request: Request<Incoming>) -> Response {
     let (head, body) = request.into_parts();
-    let id = text(&head.headers, "attempt-id").to_owned();
+    let id = header(&head.headers, "attempt-id").to_owned();
     let path = head.uri.path().to_owned();
     let quirk = path.rsplit('/').next().and_then(|q| q.parse().ok());
-    let body = match reply::read_bytes(body, MAX_BYTES).await {
+    let body = match reply::read_bytes(body, MAX_BODY_BYTES).await {
         Ok(body) => body,
         Err(e) => return response(StatusCode::BAD_REQUEST, &[], e.to_string()),
     };
     let is_first = worker.shared.runs(&id).is_empty();
     let is_rejected = match quirk {
-        Some(Quirk::RejectFirst) => is_first && lock(&worker.shared.left).is_empty(),
+        Some(Quirk::RejectFirst) => is_first && lock(&worker.shared.abandoned).is_empty(),
         Some(Quirk::Reject) => true,
         _ => false,
     };
-    let copy = text(&head.headers, "kv-from");
+    let source = header(&head.headers, "kv-from");
     let is_full = *lock(&worker.running) >= worker.settings.slots;
-    if is_rejected || is_full || !has_copy(&worker, copy, &id) {
+    if is_rejected || is_full || !has_backup(&worker, source, &id) {
         if quirk == Some(Quirk::RejectFirst) {
-            lock(&worker.shared.left).push(id);
+            lock(&worker.shared.abandoned).push(id);
         }
         return response(
             StatusCode::SERVICE_UNAVAILABLE,
@@ -217,37 +217,37 @@
         );
     }
     if let Some(file) = &worker.settings.record {
-        record(file, &id);
+        append_key(file, &id);
     }
-    let holder = text(&head.headers, "kv-backup").parse();
-    if let Ok(holder) = holder {
-        lock(&worker.shared.copies).push((holder, id.clone()));
+    let backup = header(&head.headers, "kv-backup").parse();
+    if let Ok(backup) = backup {
+        lock(&worker.shared.backups).push((backup, id.clone()));
     }
-    let from = text(&head.headers, "last-event-id").parse().unwrap_or(0);
-    lock(&worker.shared.seen).push(Seen {
+    let from = header(&head.headers, "last-event-id").parse().unwrap_or(0);
+    lock(&worker.shared.received).push(ReceivedRequest {
         id: id.clone(),
         path: head.uri.to_string(),
         headers: head.headers,
         body: body.clone(),
     });
     *lock(&worker.running) += 1;
-    let running = Running {
+    let running = InFlight {
         worker: Arc::clone(&worker),
         id,
-        is_whole: false,
+        is_complete: false,
     };
-    let quirk = quirk.filter(|q| is_first || !is_once(*q));
+    let quirk = quirk.filter(|q| is_first || !is_first_only(*q));
     sleep(Duration::from_millis(worker.settings.work_ms)).await;
-    worker.faults.hold().await;
+    worker.faults.inject_delay().await;
     if worker.settings.engine {
         stream(running, &body, from, quirk)
     } else {
-        answer(running, &body, quirk).await
+        respond(running, &body, quirk).await
     }
 }
 
 /// Whether a misbehaviour shows only the first time that a request runs.
-fn is_once(quirk: Quirk) -> bool {
+fn is_first_only(quirk: Quirk) -> bool {
     matches!(
         quirk,
         Quirk::FailFirst | Quirk::BreakFirst | Quirk::SilentFirst
@@ -255,15 +255,15 @@
 }
 
 /// Whether the copy that a request refers to is here; true if it refers to none.
-fn has_copy(worker: &Worker, reference: &str, id: &str) -> bool {
+fn has_backup(worker: &Worker, reference: &str, id: &str) -> bool {
     reference.is_empty()
-        || lock(&worker.shared.copies)
+        || lock(&worker.shared.backups)
             .iter()
-            .any(|(holder, of)| *holder == worker.addr && of == id)
+            .any(|(backup, of)| *backup == worker.addr && of == id)
 }
 
 /// Answers a call.
-async fn answer(mut running: Running, body: &Bytes, quirk: Option<Quirk>) -> Response {
+async fn respond(mut running: InFlight, body: &Bytes, quirk: Option<Quirk>) -> Response {
     if quirk == Some(Quirk::Hang) {
         std::future::pending::<()>().await;
     }
@@ -289,10 +289,10 @@
         for (name, value) in response(status, &headers, "").headers() {
             cut.headers_mut().insert(name.clone(), value.clone());
         }
-        tokio::spawn(break_off(sender, Bytes::from_static(b"half of")));
+        tokio::spawn(send_truncated(sender, Bytes::from_static(b"half of")));
         return cut;
     }
-    running.is_whole = true;
+    running.is_complete = true;
     response(status, &headers, receipt(body))
 }
 
@@ -302,7 +302,7 @@
 }
 
 /// Sends a piece of a body and breaks off.
-async fn break_off(mut sender: BodySender, piece: Bytes) {
+async fn send_truncated(mut sender: BodySender, piece: Bytes) {
     if sender.send_data(piece).await.is_ok() {
         // The piece must be on its way before the connection ends.
         sleep(Duration::from_millis(20)).await;
@@ -311,7 +311,7 @@
 }
 
 /// Answers with a stream that goes on behind the event `from`.
-fn stream(running: Running, body: &Bytes, from: u64, quirk: Option<Quirk>) -> Response {
+fn stream(running: InFlight, body: &Bytes, from: u64, quirk: Option<Quirk>) -> Response {
     let (sender, mut response) = reply::events();
     let id = running.id.clone();
     let sealed = super::response(
@@ -327,9 +327,9 @@
 }
 
 async fn events(
-    mut running: Running,
+    mut running: InFlight,
     mut sender: BodySender,
-    content: u64,
+    body_hash: u64,
     from: u64,
     quirk: Option<Quirk>,
 ) {
@@ -337,7 +337,7 @@
     let stream = worker.faults.open_stream();
     let middle = from + (worker.settings.events - from.min(worker.settings.events)) / 2;
     for number in from + 1..=worker.settings.events {
-        worker.faults.hold().await;
+        worker.faults.inject_delay().await;
         if worker.faults.is_silent(stream) {
             return std::future::pending().await;
         }
@@ -345,21 +345,21 @@
             // Ends when the caller closes the connection, which the failing send below would show.
             sleep(Duration::from_secs(600)).await;
         }
-        let event = event(content, number);
+        let event = event(body_hash, number);
         if number == middle && quirk == Some(Quirk::BreakFirst) {
-            return break_off(sender, Bytes::from(event[..event.len() / 2].to_owned())).await;
+            return send_truncated(sender, Bytes::from(event[..event.len() / 2].to_owned())).await;
         }
         if sender.send_data(Bytes::from(event)).await.is_err() {
             return;
         }
         sleep(Duration::from_millis(worker.settings.event_ms)).await;
     }
-    running.is_whole = true;
+    running.is_complete = true;
 }
 
 /// The event of this number in the answer to a request whose body has the hash `content`.
-pub fn event(content: u64, number: u64) -> String {
-    format!("id: {number}\ndata: {content:x}-{number}\n\n")
+pub fn event(body_hash: u64, number: u64) -> String {
+    format!("id: {number}\ndata: {body_hash:x}-{number}\n\n")
 }
 
 fn report(worker: &Worker) -> Response {
@@ -371,22 +371,22 @@
     reply::json(StatusCode::OK, &body)
 }
 
-async fn copy(worker: &Worker, request: Request<Incoming>) -> Response {
-    let body: serde_json::Value = match reply::read_json(request, MAX_BYTES).await {
+async fn move_kv(worker: &Worker, request: Request<Incoming>) -> Response {
+    let body: serde_json::Value = match reply::read_json(request, MAX_BODY_BYTES).await {
         Ok(body) => body,
         Err(e) => return response(StatusCode::BAD_REQUEST, &[], e.to_string()),
     };
     let id = body["id"].as_str().unwrap_or_default().to_owned();
     match body["to"].as_str().unwrap_or_default().parse() {
-        Ok(holder) => {
-            lock(&worker.shared.copies).push((holder, id));
+        Ok(backup) => {
+            lock(&worker.shared.backups).push((backup, id));
             reply::json(StatusCode::OK, &json!({"handle": "h-1", "created": 0}))
         }
         Err(_) => response(StatusCode::SERVICE_UNAVAILABLE, &[], ""),
     }
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
+fn header<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
     let value = headers.get(name).and_then(|v| v.to_str().ok());
     value.unwrap_or_default()
 }
