--- a/crates/gooseberry-standin/src/engine.rs
+++ b/crates/gooseberry-standin/src/engine.rs
@@ -1,5 +1,6 @@
-//! The engine stand-in: continuous batching, a prefix cache of limited size, streams that can be
-//! resumed and cancelled, load reports, cache events and orders.
+//! The model engine stand-in: continuous batching, a prefix cache with LRU eviction, streams that
+//! can be resumed and cancelled, load reports, cache events and orders
+//! (which models to load and which role to take).
 
 mod batch;
 mod cache;
@@ -20,37 +21,37 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Settings {
-    /// Where it listens.
+    /// The address to listen on; port 0 picks a free one.
     pub listen: SocketAddr,
-    /// The models that it holds at the start.
+    /// The models loaded at the start.
     pub models: Vec<Model>,
-    /// The time from the start of a stream to its first token without prefill, in milliseconds.
+    /// The time from admission of a stream to its first token, prefill excluded, in milliseconds.
     pub first_ms: u64,
-    /// The time that one uncached token of prompt or prefix adds to it, in microseconds.
+    /// The prefill time of one uncached token of prompt or prefix, in microseconds.
     pub prefill_us: u64,
     /// The time between tokens, in milliseconds.
     pub gap_ms: u64,
-    /// The greatest random addition to the time between tokens, in milliseconds.
+    /// The upper bound of the random addition to the time between tokens, in milliseconds.
     pub jitter_ms: u64,
-    /// The most streams generated at once.
+    /// The maximum number of streams running at once.
     pub slots: usize,
-    /// The most streams that wait.
+    /// The maximum number of queued streams; more are refused as busy.
     pub queue: usize,
-    /// The most blocks of prompt in the cache.
+    /// The capacity of the prefix cache, in blocks of the prompt.
     pub cache_blocks: usize,
-    /// By how much cache events come late, in milliseconds.
+    /// The delay until a cache event is visible to readers, in milliseconds.
     pub event_lag_ms: u64,
-    /// One cache event in this many is lost; 0 for none.
+    /// One cache event in this many is dropped; 0 for none.
     pub event_loss: u64,
-    /// By how much load reports lag, in milliseconds.
+    /// The delay until a load report is visible to readers, in milliseconds.
     pub load_lag_ms: u64,
-    /// Whether orders with a lower fencing number than seen before are refused.
+    /// Whether to refuse orders whose fencing number is lower than the highest one accepted.
     pub checks_fence: bool,
-    /// How long loading a model takes, in milliseconds.
+    /// The time that loading a model takes, in milliseconds.
     pub load_ms: u64,
-    /// How long a stream without a reader is kept, in milliseconds.
+    /// The time for which a stream without a reader is kept, in milliseconds.
     pub linger_ms: u64,
-    /// The seed of all random choices.
+    /// The seed of the random additions to the time between tokens.
     pub seed: u64,
 }
 
@@ -81,29 +82,29 @@
     }
 }
 
-/// What an engine has done; `GET /stats`.
+/// Counters of an engine since its start, returned by `GET /stats`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Stats {
     /// Tokens of prompt and prefix that were computed.
     pub prefill: u64,
-    /// The part of them for streams that are not the first attempt of their generation.
+    /// The part of `prefill` for streams that are not the first attempt of their generation.
     pub again: u64,
     /// Tokens of prompt and prefix that were found in the cache.
     pub cached: u64,
-    /// Tokens given.
+    /// Tokens generated.
     pub decode: u64,
     /// Streams started.
     pub streams: u64,
-    /// Streams ended before their last token.
+    /// Streams removed before their last token, by a request or for lack of a reader.
     pub cancelled: u64,
-    /// Orders refused for their fencing number.
+    /// Orders refused because their fencing number was too low.
     pub fenced: u64,
-    /// Streams running or waiting.
+    /// Streams running or queued now.
     pub live: u64,
 }
 
-/// Runs an engine on `listener` until `stop` is cancelled.
+/// Runs an engine on `listener` until `stop` is cancelled; ignores the address in `settings`.
 pub async fn run(listener: TcpListener, settings: Settings, stop: CancellationToken) {
     let batch = Arc::new(Batch::new(settings));
     let stepping = tokio::spawn(batch::run(batch.clone()));
--- a/crates/gooseberry-standin/src/engine/batch.rs
+++ b/crates/gooseberry-standin/src/engine/batch.rs
@@ -1,4 +1,4 @@
-//! The batch of an engine: one step gives one token to each running stream.
+//! Continuous batching: each step generates one token for every running stream past its prefill.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -17,32 +17,34 @@
 use super::{Settings, Stats};
 use crate::faults::Faults;
 
-/// The prompt bytes that count as one token.
+/// The number of prompt bytes that count as one token.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// The time between looks for streams without a reader.
+/// The interval between searches for streams that have had no reader for `linger_ms`.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A stream in its place.
+/// A running stream.
 struct Slot {
     stream: Arc<Stream>,
     /// When its first token is due.
     first_due: Instant,
 }
 
-/// All that changes in an engine.
+/// The mutable state of an engine, under one lock.
 struct Inner {
     running: Vec<Slot>,
+    /// Queued streams, by descending priority, then in order of arrival.
     waiting: Vec<Arc<Stream>>,
     streams: Sorted<StreamName, Arc<Stream>>,
     cache: Cache,
     stats: Stats,
     orders: OrderState,
+    /// Reports and when they were made, oldest first.
     load_reports: Vec<(Instant, Load)>,
     random: StdRng,
 }
 
-/// An engine.
+/// An engine: its batch, queue, prefix cache and the orders it has received.
 pub(super) struct Batch {
     pub(super) settings: Settings,
     pub(super) faults: Faults,
@@ -78,12 +80,15 @@
         }
     }
 
-    /// Takes a new stream.
+    /// Queues a new stream, or admits it at once if a slot is free.
     pub(super) fn generate(&self, request: Generate) -> Result<Arc<Stream>, Refusal> {
         let is_leaving = self.faults.state().leaving;
         let mut inner = self.lock();
         if is_leaving {
-            return Err(refusal(RefusalKind::NotReady, "the engine is leaving"));
+            return Err(refusal(
+                RefusalKind::NotReady,
+                "the engine is leaving and accepts no new streams",
+            ));
         }
         if !inner.orders.models.contains(&request.model) {
             return Err(refusal(RefusalKind::NoModel, "the model is not loaded"));
@@ -125,7 +130,7 @@
         self.lock().streams.get(name).cloned()
     }
 
-    /// Ends a stream; returns whether it was known.
+    /// Cancels and forgets a stream; returns whether it existed.
     pub(super) fn cancel(&self, name: &StreamName) -> bool {
         let mut inner = self.lock();
         let Some(stream) = inner.streams.remove(name) else {
@@ -136,7 +141,7 @@
         true
     }
 
-    /// What the engine has done.
+    /// The counters since the start, with the current number of live streams.
     pub(super) fn stats(&self) -> Stats {
         let inner = self.lock();
         Stats {
@@ -145,13 +150,15 @@
         }
     }
 
-    /// The cache events after number `after`.
+    /// The cache events with a sequence number above `after` that are older than the event lag.
     pub(super) fn events(&self, after: u64) -> Vec<engine::wire::CacheEvent> {
         let lag = Duration::from_millis(self.settings.event_lag_ms);
         self.lock().cache.events(after, lag)
     }
 
-    /// The newest load report that is old enough to be out.
+    /// The newest load report that is older than the load lag, or the oldest one if none is.
+    ///
+    /// Each call also makes the report of now, unless reports are frozen.
     pub(super) fn load(&self) -> Load {
         let faults = self.faults.state();
         let lag = Duration::from_millis(self.settings.load_lag_ms);
@@ -170,7 +177,7 @@
             inner.load_reports.push((now, current.clone()));
         }
         let is_visible = |at: Instant| now.duration_since(at) >= lag;
-        // The last report that is out stays; those before it are of no more use.
+        // Reports before the newest visible one will never be returned again.
         let last = inner
             .load_reports
             .iter()
@@ -181,7 +188,7 @@
         match inner.load_reports.first() {
             Some((at, report)) => Load {
                 age_ms: now.duration_since(*at).as_millis() as u64,
-                // Whether an engine leaves does not lag: it refuses work by itself.
+                // `leaving` is always current, because the engine refuses work at once.
                 leaving: faults.leaving,
                 ..report.clone()
             },
@@ -189,19 +196,19 @@
         }
     }
 
-    /// What orders have led to.
+    /// The models loaded and loading, the role and the highest fencing number.
     pub(super) fn order_state(&self) -> OrderState {
         self.lock().orders.clone()
     }
 
-    /// Takes an order.
+    /// Applies an order: unloads models that it does not list, and starts to load new ones.
     pub(super) fn order(self: &Arc<Self>, order: Order) -> Result<OrderState, Refusal> {
         let mut inner = self.lock();
         if self.settings.checks_fence && order.fence < inner.orders.fence {
             inner.stats.fenced += 1;
             return Err(refusal(
                 RefusalKind::Fenced,
-                "a higher fencing number was seen",
+                "an order with a higher fencing number was accepted before",
             ));
         }
         let state = &mut inner.orders;
@@ -219,7 +226,7 @@
         Ok(inner.orders.clone())
     }
 
-    /// One step of the batch; returns how long the next one takes.
+    /// Runs one step of the batch; returns the time until the next one.
     fn step(&self) -> Duration {
         let mut inner = self.lock();
         let now = Instant::now();
@@ -245,7 +252,7 @@
         Duration::from_millis(self.settings.gap_ms + jitter)
     }
 
-    /// Lets waiting streams take free places.
+    /// Moves queued streams into free slots.
     fn admit(&self, inner: &mut Inner) {
         while inner.running.len() < self.settings.slots && !inner.waiting.is_empty() {
             let stream = inner.waiting.remove(0);
@@ -256,7 +263,7 @@
         }
     }
 
-    /// Ends streams that nobody has read for a while.
+    /// Cancels and forgets streams that have had no reader for `linger_ms`.
     fn sweep(&self) {
         let linger = Duration::from_millis(self.settings.linger_ms);
         let mut inner = self.lock();
@@ -279,12 +286,12 @@
     }
 }
 
-/// Whether a stream is the first attempt of its generation, as its name tells.
+/// Whether a stream is the first attempt of its generation: its name ends in the attempt's number.
 fn is_first_attempt(name: &StreamName) -> bool {
     name.0.rsplit('-').next() == Some("1")
 }
 
-/// Steps the batch for ever.
+/// Runs the steps of the batch and the sweeps, until aborted.
 pub(super) async fn run(batch: Arc<Batch>) {
     let mut last_sweep = Instant::now();
     loop {
@@ -298,7 +305,7 @@
     }
 }
 
-/// Puts a model into memory once it is loaded, if it is still wanted.
+/// Marks a model as loaded after `load_ms`, unless a later order has dropped it.
 async fn finish_loading(batch: Arc<Batch>, model: Model) {
     sleep(Duration::from_millis(batch.settings.load_ms)).await;
     let mut inner = batch.lock();
@@ -309,7 +316,7 @@
     }
 }
 
-/// Takes a stream out of the batch.
+/// Cancels a stream and removes it from the batch and the queue.
 fn drop_stream(inner: &mut Inner, stream: &Arc<Stream>) {
     stream.cancel();
     let before = inner.running.len() + inner.waiting.len();
--- a/crates/gooseberry-standin/src/engine/http.rs
+++ b/crates/gooseberry-standin/src/engine/http.rs
@@ -13,10 +13,10 @@
 use super::batch::Batch;
 use super::stream::Stream;
 
-/// The largest request body, in bytes.
+/// The limit on a request body.
 const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
-/// Answers one request.
+/// Handles one request.
 pub(super) async fn handle(batch: Arc<Batch>, request: Request<Incoming>) -> Response {
     let path = request.uri().path().to_owned();
     let query = request.uri().query().unwrap_or_default().to_owned();
@@ -27,7 +27,7 @@
     if batch.faults.state().outage {
         return refuse(&refusal(
             RefusalKind::NotReady,
-            "the engine is out of order",
+            "the engine is unavailable: fault switch `outage` is on",
         ));
     }
     let method = request.method().clone();
@@ -45,7 +45,7 @@
     }
 }
 
-/// Answers a request for one stream.
+/// Handles a request for one stream: cancels it, or returns its tokens from `offset` on.
 fn stream(batch: Arc<Batch>, method: &Method, path: &str, offset: u64) -> Response {
     let Some(name) = path.strip_prefix("/v1/streams/") else {
         return refuse(&refusal(RefusalKind::Invalid, "no such path"));
@@ -87,19 +87,19 @@
     }
 }
 
-/// Starts to write a stream from `offset` on.
+/// Returns a response whose body is the stream's tokens from `offset` on.
 fn stream_tokens(batch: Arc<Batch>, stream: Arc<Stream>, offset: u64) -> Response {
     let (sender, response) = reply::events();
     stream.add_reader();
     tokio::spawn(async move {
-        // An error means that the reader is gone, which the count of readers tells.
+        // An error means that the reader has disconnected; removing it below is all there is to do.
         let _ = write(&batch, &stream, offset, sender).await;
         stream.remove_reader();
     });
     response
 }
 
-/// Writes tokens as they come, up to the end.
+/// Sends tokens as they are generated, until the stream ends or is cancelled.
 async fn write(
     batch: &Batch,
     stream: &Stream,
@@ -141,13 +141,13 @@
         if !frames.is_empty() {
             send(&mut sender, &frames).await?;
         }
-        // The stream outlives its readers, so that its end of the channel is open.
+        // Cannot fail: the stream holds the sender and lives as long as this borrow of it.
         let _ = updates.changed().await;
         batch.faults.wait_paused().await;
     }
 }
 
-/// Writes frames as one piece.
+/// Sends frames as server-sent events in one chunk.
 async fn send(sender: &mut BodySender, frames: &[Frame]) -> Result<(), StreamCut> {
     let mut buffer = Vec::new();
     for frame in frames {
@@ -181,7 +181,7 @@
     }
 }
 
-/// The number called `name` in a query, or 0.
+/// The query parameter `name` as a number, or 0 if it is absent or malformed.
 fn query_number(query: &str, name: &str) -> u64 {
     query
         .split('&')
--- a/crates/gooseberry-standin/src/engine/stream.rs
+++ b/crates/gooseberry-standin/src/engine/stream.rs
@@ -1,4 +1,4 @@
-//! One stream of an engine.
+//! One output stream of an engine, shared by the batch that generates it and by its readers.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -10,21 +10,24 @@
 
 use crate::sequence;
 
-/// A stream and the tokens that it has given.
+/// A stream and the tokens generated so far.
 #[derive(Debug)]
 pub(super) struct Stream {
     pub(super) request: Generate,
-    /// The offset of the first token given.
+    /// The offset of the first token generated; the prefix of the request lies before it.
     pub(super) start: u64,
+    /// The tokens of prompt and prefix that were found in the cache.
     pub(super) cached: u64,
+    /// The tokens of prompt and prefix that had to be computed.
     pub(super) prefill: u64,
+    /// The number of tokens in the complete output, prefix included.
     length: u64,
     finish: Finish,
     tokens: Mutex<Vec<Token>>,
-    /// The offset after the last token.
+    /// The offset after the last token generated.
     next_offset: watch::Sender<u64>,
     readers: AtomicU64,
-    /// Since when there is no reader.
+    /// When the last reader left, or the stream was created; unused while there are readers.
     idle_start: Mutex<Instant>,
     is_cancelled: AtomicBool,
 }
@@ -52,7 +55,7 @@
         }
     }
 
-    /// Gives the next token; returns whether the stream goes on.
+    /// Generates the next token; returns whether more follow.
     pub(super) fn step(&self) -> bool {
         let mut tokens = self.tokens.lock().unwrap_or_else(|e| e.into_inner());
         let next = self.start + tokens.len() as u64;
@@ -81,19 +84,19 @@
             .unwrap_or_default()
     }
 
-    /// A subscription to the offset after the last token.
+    /// Subscribes to the offset after the last token; cancellation notifies it as well.
     pub(super) fn subscribe(&self) -> watch::Receiver<u64> {
         self.next_offset.subscribe()
     }
 
-    /// The length of the whole output and why it ends there.
+    /// The number of tokens in the complete output, and why it ends there.
     pub(super) fn end(&self) -> (u64, Finish) {
         (self.length, self.finish)
     }
 
     pub(super) fn cancel(&self) {
         self.is_cancelled.store(true, Ordering::Relaxed);
-        // Wakes the readers, who close their connections.
+        // Wakes the readers, so that they abort their connections.
         self.next_offset.send_modify(|_| ());
     }
 
@@ -101,18 +104,18 @@
         self.is_cancelled.load(Ordering::Relaxed)
     }
 
-    /// Counts a reader in.
+    /// Increments the number of readers.
     pub(super) fn add_reader(&self) {
         self.readers.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts a reader out.
+    /// Decrements the number of readers and restarts the idle time.
     pub(super) fn remove_reader(&self) {
         self.readers.fetch_sub(1, Ordering::Relaxed);
         *self.idle_start.lock().unwrap_or_else(|e| e.into_inner()) = Instant::now();
     }
 
-    /// Since when there is no reader, if there is none.
+    /// When the last reader left; `None` while there are readers.
     pub(super) fn idle_since(&self) -> Option<Instant> {
         if self.readers.load(Ordering::Relaxed) > 0 {
             return None;
--- a/crates/gooseberry-standin/src/faults.rs
+++ b/crates/gooseberry-standin/src/faults.rs
@@ -1,4 +1,4 @@
-//! Fault switches that all stand-ins share.
+//! Fault injection for all stand-ins, switched by `POST /faults`.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -9,35 +9,36 @@
 use tokio::time::{Instant, sleep, sleep_until};
 use web::{Response, reply};
 
-/// The largest body of a fault switch, in bytes.
+/// The limit on the body of `POST /faults`.
 const MAX_BODY_BYTES: usize = 4_096;
 
-/// The exit code of a process told to die.
+/// The exit code of a process ended by a fault switch.
 const FAULT_EXIT_CODE: i32 = 86;
 
-/// The body of `POST /faults`; fields left out keep their setting.
+/// The body of `POST /faults`; omitted fields leave their fault unchanged.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Switch {
-    /// End the process at once, without closing anything in order.
+    /// Exit the process immediately, without a graceful shutdown.
     pub die: bool,
-    /// Do nothing for so many milliseconds, then go on as if nothing had happened.
+    /// Stall all work for this many milliseconds, then continue normally.
     pub pause_ms: Option<u64>,
-    /// Answer each request later by so many milliseconds.
+    /// Delay each answer by this many milliseconds.
     pub delay_ms: Option<u64>,
-    /// Send nothing more on the streams open now; new ones work.
+    /// Send nothing more on the streams that are open now, and keep their connections open; new
+    /// streams are not affected.
     pub silence: bool,
-    /// Refuse each request until switched off.
+    /// Whether to refuse each request; stays on until switched off.
     pub outage: Option<bool>,
-    /// Carry out the next so many writes and lose their answers.
+    /// Execute this many of the next writes, but break off their answers.
     pub lose_answers: Option<u64>,
-    /// Carry out the next so many calls, then end the process before answering.
+    /// Execute this many calls, then exit the process before the last one is answered.
     pub die_after: Option<u64>,
-    /// Whether to take no new work.
+    /// Whether to report that the server leaves, and refuse new work.
     pub leaving: Option<bool>,
-    /// Send no cache event for so many events.
+    /// Drop this many of the next cache events.
     pub drop_events: Option<u64>,
-    /// Freeze the load report.
+    /// Whether to keep reporting an old load instead of the current one.
     pub freeze_load: Option<bool>,
 }
 
@@ -45,44 +46,45 @@
 #[derive(Clone, Debug, Default)]
 pub struct State {
     paused_until: Option<Instant>,
-    /// How much later requests are answered.
+    /// The delay added to each answer.
     pub delay: Duration,
-    /// Streams opened before this number are silent.
+    /// Streams up to and including this number send nothing more.
     pub last_silenced: u64,
-    /// Whether each request is refused.
+    /// Whether every request is refused.
     pub outage: bool,
-    /// How many answers of writes are still to be lost.
+    /// The number of answers to writes that are still to be broken off.
     pub lose_answers: u64,
-    /// After how many calls the process ends.
+    /// The number of calls left until the process exits; `None` if it does not.
     pub die_after: Option<u64>,
-    /// Whether no new work is taken.
+    /// Whether the server reports that it leaves and refuses new work.
     pub leaving: bool,
-    /// How many cache events are still to be dropped.
+    /// The number of cache events that are still to be dropped.
     pub drop_events: u64,
-    /// Whether the load report is frozen.
+    /// Whether load reports are no longer updated.
     pub freeze_load: bool,
+    /// The number of streams opened so far.
     opened: u64,
 }
 
-/// The switches of a process.
+/// The faults of a stand-in, shared by its request handlers.
 #[derive(Debug, Default)]
 pub struct Faults {
     state: Mutex<State>,
 }
 
 impl Faults {
-    /// The faults in force now.
+    /// A copy of the faults now in force.
     pub fn state(&self) -> State {
         self.update(|s| s.clone())
     }
 
-    /// Changes or reads the faults in force.
+    /// Runs `change` on the faults in force under their lock.
     pub fn update<T>(&self, change: impl FnOnce(&mut State) -> T) -> T {
         let mut state = self.state.lock().unwrap_or_else(|e| e.into_inner());
         change(&mut state)
     }
 
-    /// Waits out a pause and a delay.
+    /// Waits until a pause has ended, then for the delay in force.
     pub async fn inject_delay(&self) {
         self.wait_paused().await;
         let delay = self.state().delay;
@@ -91,14 +93,14 @@
         }
     }
 
-    /// Waits out a pause.
+    /// Waits until a pause has ended.
     pub async fn wait_paused(&self) {
         while let Some(until) = self.state().paused_until.filter(|t| *t > Instant::now()) {
             sleep_until(until).await;
         }
     }
 
-    /// Numbers a stream that is being opened.
+    /// Registers a stream that is being opened and returns its number, counted from 1.
     pub fn open_stream(&self) -> u64 {
         self.update(|s| {
             s.opened += 1;
@@ -106,12 +108,12 @@
         })
     }
 
-    /// Whether the stream of this number is silent.
+    /// Whether the stream with this number sends nothing more.
     pub fn is_silent(&self, stream: u64) -> bool {
         self.update(|s| stream <= s.last_silenced)
     }
 
-    /// Whether the answer of a write that took effect is lost; counts down.
+    /// Whether to break off the answer of a write that was executed; counts down `lose_answers`.
     pub fn loses_answer(&self) -> bool {
         self.update(|s| {
             let is_lost = s.lose_answers > 0;
@@ -120,7 +122,7 @@
         })
     }
 
-    /// Ends the process if it was to end after this call.
+    /// Counts an executed call against `die_after`, and exits the process if it was the last one.
     pub fn count_call(&self) {
         let is_last = self.update(|s| match &mut s.die_after {
             Some(0 | 1) => true,
@@ -135,7 +137,7 @@
         }
     }
 
-    /// Answers `POST /faults`.
+    /// Handles `POST /faults`; echoes the switch, or answers 400 if its body is invalid.
     pub async fn handle_request(&self, request: Request<Incoming>) -> Response {
         let switch: Switch = match reply::read_json(request, MAX_BODY_BYTES).await {
             Ok(switch) => switch,
@@ -145,7 +147,7 @@
         reply::json(StatusCode::OK, &switch)
     }
 
-    /// Puts a switch into force.
+    /// Applies a switch; does not return if it sets `die`.
     pub fn apply(&self, switch: &Switch) {
         if switch.die {
             std::process::exit(FAULT_EXIT_CODE);
--- a/crates/gooseberry-standin/src/lib.rs
+++ b/crates/gooseberry-standin/src/lib.rs
@@ -1,6 +1,7 @@
-//! Stand-ins for the systems outside: engines, a plain service, our own platform and the users'.
+//! Test stand-ins for the systems outside the workspace: model engines, a plain service, the
+//! platform behind the `store` crate and the deployment's platform ([`site`]).
 //!
-//! They keep to the wire shapes of the adapter crates and add fault switches over HTTP under
+//! They speak the wire formats of the adapter crates and accept fault switches by HTTP under
 //! `/faults`. For tests and measurements only.
 
 pub mod engine;
--- a/crates/gooseberry-standin/src/main.rs
+++ b/crates/gooseberry-standin/src/main.rs
@@ -1,4 +1,4 @@
-//! `gooseberry-standin`: one stand-in as a process.
+//! `gooseberry-standin`: runs one stand-in as a process.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -26,21 +26,21 @@
     /// The platform: table, object store and host list.
     #[bpaf(command)]
     Platform(#[bpaf(external(server_args))] ServerArgs),
-    /// The store of the users' platform.
+    /// The metadata store of the deployment's platform.
     #[bpaf(command)]
     SiteStore(#[bpaf(external(server_args))] ServerArgs),
-    /// A backend server of the users' platform.
+    /// A backend server of the deployment's platform.
     #[bpaf(command)]
     SiteWorker(#[bpaf(external(server_args))] ServerArgs),
 }
 
-/// Where a stand-in listens and what it is like.
+/// The settings and the address of a stand-in.
 #[derive(Clone, Debug, Bpaf)]
 struct ServerArgs {
-    /// The JSON file with the settings.
+    /// The JSON file with the settings; the defaults apply without one.
     #[bpaf(short, long, argument("FILE"))]
     settings: Option<PathBuf>,
-    /// The address to listen on, instead of that in the settings.
+    /// The address to listen on; overrides the one in the settings.
     #[bpaf(short, long, argument("ADDR"))]
     listen: Option<SocketAddr>,
 }
@@ -61,7 +61,7 @@
     let stop = CancellationToken::new();
     let on_signal = stop.clone();
     tokio::spawn(async move {
-        // Without a handler for the signal there is nothing to wait for.
+        // If no signal handler can be installed, the process runs until it is killed.
         if tokio::signal::ctrl_c().await.is_ok() {
             on_signal.cancel();
         }
@@ -96,7 +96,7 @@
     Ok(())
 }
 
-/// The settings in the file, or the defaults.
+/// Reads the settings from the file, or returns the defaults if no file is given.
 fn read_settings<T: DeserializeOwned + Default>(args: &ServerArgs) -> Result<T, String> {
     let Some(file) = &args.settings else {
         return Ok(T::default());
@@ -104,7 +104,7 @@
     settings::load::read(file).map_err(|e: SettingsError| e.to_string())
 }
 
-/// Binds the address and prints where the stand-in listens.
+/// Binds the address, writes the effective one to `listen` and prints the bound one.
 async fn bind(args: &ServerArgs, listen: &mut SocketAddr) -> Result<TcpListener, String> {
     *listen = args.listen.unwrap_or(*listen);
     let listener = TcpListener::bind(*listen)
--- a/crates/gooseberry-standin/src/platform.rs
+++ b/crates/gooseberry-standin/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform stand-in: table, object store and lagging host list.
+//! The platform stand-in: a transactional table, an object store, and a host list with a lag.
 
 mod http;
 mod table;
@@ -22,23 +22,23 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Settings {
-    /// Where it listens.
+    /// The address to listen on; port 0 picks a free one.
     pub listen: SocketAddr,
     /// The time that a write takes, in milliseconds.
     pub write_ms: u64,
     /// The time that a read takes, in milliseconds.
     pub read_ms: u64,
-    /// The most writes a second; more are refused.
+    /// The rate limit on writes, per second; more are refused.
     pub writes: u64,
-    /// The most reads a second; more are refused.
+    /// The rate limit on reads, per second; more are refused.
     pub reads: u64,
-    /// By how much the host list lags, in milliseconds.
+    /// The delay until a change of the host list is visible to readers, in milliseconds.
     pub lag_ms: u64,
     /// The time that loading one model's weights takes, in milliseconds.
     pub weights_ms: u64,
-    /// The most weight loads at once; more are refused.
+    /// The maximum number of concurrent weight loads; more are refused.
     pub weight_loads: usize,
-    /// The hosts known at the start.
+    /// The host list at the start.
     pub hosts: Vec<Host>,
 }
 
@@ -58,33 +58,35 @@
     }
 }
 
-/// What the platform has done; `GET /stats`.
+/// Counters of the platform since its start, returned by `GET /stats`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Stats {
-    /// Transactions and objects written.
+    /// Writes admitted: transactions, and objects or hosts written or deleted by PUT or DELETE.
     pub writes: u64,
-    /// Reads, scans and objects read.
+    /// All other calls admitted.
     pub reads: u64,
-    /// Calls refused for their rate.
+    /// Calls refused by the rate limits.
     pub throttled: u64,
-    /// Bytes of bodies that went out.
+    /// Bytes of response bodies; always 0, as they are not counted.
     pub bytes_out: u64,
 }
 
-/// All that the platform keeps.
+/// The mutable state of the platform, under one lock.
 #[derive(Debug, Default)]
 struct State {
     table: Table,
     objects: Sorted<String, Value>,
+    /// All revisions of the host list and when they were made, oldest first.
     hosts: Vec<(Instant, HostList)>,
     stats: Stats,
+    /// The number of weight loads in progress.
     weight_loads: usize,
-    /// The second for which calls are counted, and the calls in it.
+    /// The current one-second window of the rate limits: its start, its reads and its writes.
     window: Option<(Instant, u64, u64)>,
 }
 
-/// The platform.
+/// The platform, shared by its request handlers.
 #[derive(Debug)]
 struct Platform {
     settings: Settings,
@@ -111,7 +113,7 @@
         self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// Counts a call against its rate; returns whether it may go on.
+    /// Counts a call against its rate limit; returns whether it is admitted.
     fn admit(&self, is_write: bool) -> bool {
         let mut state = self.lock();
         let now = Instant::now();
@@ -132,7 +134,7 @@
         !is_over
     }
 
-    /// The host list as it was some time ago.
+    /// The newest host list that is older than the lag, or the first one if none is.
     fn hosts(&self) -> HostList {
         let lag = Duration::from_millis(self.settings.lag_ms);
         let state = self.lock();
@@ -141,7 +143,7 @@
         newest.map(|(_, list)| list.clone()).unwrap_or_default()
     }
 
-    /// Puts an entry into the host list.
+    /// Adds or replaces an entry of the host list, in a new revision.
     fn put_host(&self, host: Host) {
         let mut state = self.lock();
         let mut list = state
@@ -157,7 +159,7 @@
         state.hosts.push((Instant::now(), list));
     }
 
-    /// Takes an entry out of the host list.
+    /// Removes an entry of the host list, in a new revision.
     fn remove_host(&self, name: &str) {
         let mut state = self.lock();
         let mut list = state
--- a/crates/gooseberry-standin/src/platform/http.rs
+++ b/crates/gooseberry-standin/src/platform/http.rs
@@ -13,10 +13,10 @@
 
 use super::Platform;
 
-/// The largest request body, in bytes.
+/// The limit on a request body.
 const MAX_BODY_BYTES: usize = 32 * 1024 * 1024;
 
-/// Answers one request.
+/// Handles one request.
 pub(super) async fn handle(platform: Arc<Platform>, request: Request<Incoming>) -> Response {
     let path = request.uri().path().to_owned();
     match path.as_str() {
@@ -25,12 +25,12 @@
         _ => platform.faults.inject_delay().await,
     }
     if platform.faults.state().outage {
-        let message = "the platform is out of order; try again later";
+        let message = "the platform is unavailable: fault switch `outage` is on; try again later";
         return reply::json(StatusCode::SERVICE_UNAVAILABLE, &message);
     }
     let is_write = is_write(request.method(), &path);
     if !platform.admit(is_write) {
-        let message = "too many calls a second; slow down";
+        let message = "the rate limit of calls per second is exceeded; retry at a lower rate";
         return reply::json(StatusCode::TOO_MANY_REQUESTS, &message);
     }
     let settings = &platform.settings;
@@ -47,12 +47,12 @@
     response
 }
 
-/// Whether a request counts as a write.
+/// Whether a request counts against the rate limit on writes, and takes `write_ms`.
 fn is_write(method: &Method, path: &str) -> bool {
     path == "/v1/table/transact" || method == Method::PUT || method == Method::DELETE
 }
 
-/// An answer that breaks off before its first byte of body.
+/// A response whose connection is aborted before the first byte of the body.
 fn truncated_response() -> Response {
     let (sender, response) = reply::events();
     sender.abort(StreamCut);
@@ -75,7 +75,7 @@
         (Method::GET, "/v1/hosts") => {
             let list = platform.hosts();
             let unchanged = format!("after={}", list.revision);
-            // A reader that holds this list is told just that.
+            // A reader that has this revision receives `null` instead of the list.
             let is_unchanged = request.uri().query() == Some(unchanged.as_str());
             ok(&(!is_unchanged).then_some(list))
         }
@@ -132,12 +132,12 @@
     }
 }
 
-/// Answers a load of weights, or refuses it if too many run.
+/// Simulates loading a model's weights; refuses the call if too many loads are in progress.
 async fn load_weights(platform: &Platform) -> Response {
     {
         let mut state = platform.lock();
         if state.weight_loads >= platform.settings.weight_loads {
-            let message = "too many weight loads at once; try again later";
+            let message = "too many concurrent weight loads; try again later";
             return reply::json(StatusCode::TOO_MANY_REQUESTS, &message);
         }
         state.weight_loads += 1;
--- a/crates/gooseberry-standin/src/platform/table.rs
+++ b/crates/gooseberry-standin/src/platform/table.rs
@@ -1,25 +1,30 @@
-//! A table with conditional writes and transactions over several rows.
+//! An in-memory table with conditional writes and transactions over several rows.
 
 use base::sorted::Sorted;
 use serde_json::Value;
 use store::wire::{Expect, Found, Op, Outcome, Row, Scan, Write};
 
-/// A value and the number of the write that made it.
+/// A value and its version.
 #[derive(Clone, Debug)]
 struct Cell {
+    /// The number of the write that stored the value, counted over all rows.
     version: u64,
     value: Value,
 }
 
-/// The rows.
+/// The rows by key.
 #[derive(Debug, Default)]
 pub(super) struct Table {
     rows: Sorted<String, Cell>,
+    /// The version given to the last value stored.
     last_version: u64,
 }
 
 impl Table {
-    /// Carries out all operations, or none if a condition does not hold.
+    /// Applies all operations, or none if the condition of any is not met.
+    ///
+    /// Returns the version of each row after the transaction (0 if it is absent), or the rows
+    /// whose condition was not met.
     pub(super) fn transact(&mut self, ops: &[Op]) -> Outcome {
         let failed: Vec<Found> = ops
             .iter()
@@ -36,7 +41,7 @@
         Outcome::Committed(ops.iter().map(|op| self.apply(op)).collect())
     }
 
-    /// The row at `key`.
+    /// The row at `key`; `None` if it is absent.
     pub(super) fn read(&self, key: &str) -> Option<Row> {
         self.rows.get(&key.to_owned()).map(|cell| Row {
             key: key.to_owned(),
@@ -45,7 +50,7 @@
         })
     }
 
-    /// The rows of a scan.
+    /// The rows of a scan, by key, up to its limit.
     pub(super) fn scan(&self, scan: &Scan) -> Vec<Row> {
         self.rows
             .iter()
@@ -64,6 +69,7 @@
         }
     }
 
+    /// Applies one operation; returns the version of the row after it, or 0 if it is absent.
     fn apply(&mut self, op: &Op) -> u64 {
         match &op.write {
             Write::Check => self.rows.get(&op.key).map_or(0, |c| c.version),
--- a/crates/gooseberry-standin/src/sequence.rs
+++ b/crates/gooseberry-standin/src/sequence.rs
@@ -1,12 +1,13 @@
-//! The tokens that an engine stand-in gives, known to whoever checks an answer.
+//! The deterministic token sequence of an engine stand-in, which lets a test verify an output.
 //!
-//! Token 0 depends on the prompt and the stream; each later token on the prompt and the one before
-//! it. A sequence that misses or repeats a token, or that mixes two generations, breaks the chain.
+//! Token 0 is a hash of the prompt and the stream's name; each later token is a hash of the prompt
+//! and its predecessor. An output that lacks or repeats a token, or that mixes two generations,
+//! therefore fails [`check`].
 
 use base::hash::stable;
 use base::prelude::*;
 
-/// One prompt in this many ends before its most tokens.
+/// One prompt in this many stops early, with `1 / STOP_EVERY` of its `max_tokens` left.
 const STOP_EVERY: u64 = 4;
 
 /// The token at offset 0 of a stream called `stream`.
@@ -22,7 +23,7 @@
     token_from(stable(&seed))
 }
 
-/// The number of tokens in the whole output, and whether the model ended it by itself.
+/// The number of tokens in the complete output, and whether the model stopped before `max_tokens`.
 pub fn length(prompt: &str, max_tokens: u64) -> (u64, bool) {
     if stable(prompt.as_bytes()).is_multiple_of(STOP_EVERY) {
         return (max_tokens - max_tokens / STOP_EVERY, true);
@@ -30,20 +31,21 @@
     (max_tokens, false)
 }
 
-/// What is wrong with a text as an answer to `prompt`.
+/// Why a text is not an output for a prompt; holds the index of the first wrong word.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SequenceError {
-    /// The token at this place does not follow the one before it.
+    /// The token at this index is not the successor of the one before it.
     Mismatch(usize),
-    /// The text is not made of tokens.
+    /// The word at this index is not a token id in hexadecimal.
     Malformed(usize),
 }
 
-/// Checks that a text is an unbroken sequence of tokens, and returns how many.
+/// Checks that each token in a text is the successor of the one before it, and returns how many
+/// there are. The first token may be any, as it depends on the stream's name.
 ///
 /// # Errors
 ///
-/// The first [`Flaw`].
+/// The first word that is wrong.
 pub fn check(prompt: &str, text: &str) -> Result<u64, SequenceError> {
     let mut previous = None;
     let mut count = 0;
@@ -58,7 +60,7 @@
     Ok(count)
 }
 
-/// A token whose text shows its index.
+/// The token with an id folded from `seed`; its text is the id in hexadecimal.
 fn token_from(seed: u64) -> Token {
     let id = (seed ^ (seed >> 32)) as u32;
     Token {
--- a/crates/gooseberry-standin/src/service.rs
+++ b/crates/gooseberry-standin/src/service.rs
@@ -1,4 +1,4 @@
-//! The plain service stand-in: it counts how often each key was run.
+//! The plain service stand-in: counts how often the call of each idempotency key was run.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -19,24 +19,24 @@
 
 use crate::faults::Faults;
 
-/// The largest request body, in bytes.
+/// The limit on a request body.
 const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
-/// The header that names a request.
+/// The header with the idempotency key of a call.
 const KEY_HEADER: &str = "idempotency-key";
 
 /// The settings of a plain service stand-in.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Settings {
-    /// Where it listens.
+    /// The address to listen on; port 0 picks a free one.
     pub listen: SocketAddr,
     /// The time that one call takes, in milliseconds.
     pub work_ms: u64,
-    /// The number of calls that it says it runs at once.
+    /// The number of slots in its load report; it is not enforced.
     pub slots: u64,
-    /// The file to which the key of each call is added before it runs, so that it outlives the
-    /// process.
+    /// The file to which the key of each call is appended before it runs, so that the record
+    /// survives the process; `None` for no record.
     pub record: Option<PathBuf>,
 }
 
@@ -51,21 +51,21 @@
     }
 }
 
-/// How often a key was run; a list of these answers `GET /runs`.
+/// How often the call of a key was run; `GET /runs` returns a list of these.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunCount {
-    /// The key.
+    /// The idempotency key; empty for calls without one.
     pub key: String,
-    /// How often its call ran.
+    /// The number of runs.
     pub count: u64,
 }
 
-/// The body of each answer of the service.
+/// The body of each answer of the service, for the caller to verify.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Receipt {
-    /// The key of the call, as the service saw it.
+    /// The idempotency key as received; empty if the call had none.
     pub key: String,
-    /// The number of the run over all keys.
+    /// The number of the run, counted from 1 over all keys.
     pub run: u64,
     /// The path of the call.
     pub path: String,
@@ -73,7 +73,7 @@
     pub body: String,
 }
 
-/// A plain service.
+/// The state of a plain service.
 struct Service {
     settings: Settings,
     faults: Faults,
@@ -102,7 +102,7 @@
         (_, "/faults") => return service.faults.handle_request(request).await,
         (&Method::GET, "/runs") => return reply::json(StatusCode::OK, &service.run_counts()),
         (&Method::GET, "/v1/load") => return reply::json(StatusCode::OK, &service.load()),
-        // What is asked of engines only is no call of this service.
+        // Only engines have this path; without this arm the request would count as a call.
         (&Method::GET, "/v1/cache/events") => {
             return reply::json(StatusCode::NOT_FOUND, &"no such path");
         }
@@ -143,7 +143,7 @@
 }
 
 impl Service {
-    /// Counts a run of `key` and returns its number over all keys.
+    /// Counts a run of `key`, appends it to the record and returns its number over all keys.
     fn count(&self, key: &str) -> u64 {
         if let Some(file) = &self.settings.record {
             append_key(file, key);
@@ -175,7 +175,7 @@
     }
 }
 
-/// Adds a key to the file; what is written stays when the process is killed.
+/// Appends a key to the file, unbuffered, so that it is kept if the process is killed.
 pub(crate) fn append_key(file: &PathBuf, key: &str) {
     let opened = std::fs::File::options()
         .create(true)
@@ -183,8 +183,11 @@
         .open(file);
     let result = opened.and_then(|mut f| f.write_all(format!("{key}\n").as_bytes()));
     if let Err(e) = result {
-        // A run that is not counted would make the measurement worthless.
-        eprintln!("{}: {e}; name a file that can be written", file.display());
+        // A run that is not recorded would invalidate the measurement.
+        eprintln!(
+            "cannot append to {}: {e}; set `record` to a writable file",
+            file.display()
+        );
         std::process::abort();
     }
 }
--- a/crates/gooseberry-standin/src/site.rs
+++ b/crates/gooseberry-standin/src/site.rs
@@ -1,7 +1,8 @@
-//! The users' platform: its store, its backend servers and its callers.
+//! The deployment's platform, as the gateway uses it: metadata store, backend servers and callers.
 //!
-//! Written from the published protocol, for tests of what speaks it. Only what the system uses is
-//! here; faults are switched over HTTP as with the other stand-ins.
+//! Implements the published protocol independently of the `platform` crate, so that tests check
+//! the gateway against the protocol and not against itself. Covers only the calls that the gateway
+//! makes; faults are switched by HTTP as for the other stand-ins.
 
 pub mod caller;
 pub mod documents;
@@ -13,7 +14,7 @@
 use hyper::header::{HeaderName, HeaderValue};
 use web::{Response, reply};
 
-/// A response with headers.
+/// A response with these headers; those with an invalid value are left out.
 pub(crate) fn response(
     status: StatusCode,
     headers: &[(&'static str, &str)],
--- a/crates/gooseberry-standin/src/site/caller.rs
+++ b/crates/gooseberry-standin/src/site/caller.rs
@@ -1,4 +1,5 @@
-//! A caller of the users' platform: its requests, and how it reads answers.
+//! A caller of the deployment's platform: builds requests, reads answers and computes the expected
+//! ones.
 
 use base::hash::stable;
 use bytes::Bytes;
@@ -10,38 +11,38 @@
 use crate::site::documents::{HOST, KEY};
 use crate::site::worker;
 
-/// An answer, read to its end.
+/// An answer with the part of its body that was received.
 #[derive(Debug)]
 pub struct Answer {
-    /// The status.
+    /// The HTTP status.
     pub status: StatusCode,
-    /// The headers.
+    /// The response headers.
     pub headers: HeaderMap,
-    /// What came of the body.
+    /// The bytes of the body received.
     pub body: Bytes,
-    /// Whether the body came to its end.
+    /// Whether the body was received to its end, without a connection error.
     pub is_whole: bool,
 }
 
 impl Answer {
-    /// The body as text.
+    /// The body as text; empty if it is not UTF-8.
     pub fn text(&self) -> &str {
         str::from_utf8(&self.body).unwrap_or_default()
     }
 
-    /// A header, or an empty text.
+    /// The value of a header; empty if it is absent or not text.
     pub fn header(&self, name: &str) -> &str {
         let value = self.headers.get(name).and_then(|v| v.to_str().ok());
         value.unwrap_or_default()
     }
 
-    /// Whether the answer promises that the request has not run and never will.
+    /// Whether the status guarantees that the request has not run and will not run.
     pub fn is_refusal(&self) -> bool {
         matches!(self.status.as_u16(), 408 | 421 | 429 | 503)
     }
 }
 
-/// A request to `path`, which waits for `patience_ms`; its body is its id.
+/// A request to `path` with a deadline of `deadline_ms`; its body is its id.
 pub fn request(id: &str, path: &str, deadline_ms: u64) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(Bytes::from(id.to_owned())));
     *request.method_mut() = hyper::Method::POST;
@@ -60,7 +61,7 @@
     request
 }
 
-/// A request for a stream.
+/// A request for a generation, answered with a stream of events.
 pub fn generation(id: &str, path: &str, deadline_ms: u64) -> Request<Full<Bytes>> {
     let mut request = request(id, path, deadline_ms);
     if let Ok(tokens) = "1000,210".parse() {
@@ -69,14 +70,14 @@
     request
 }
 
-/// Has the stream of a request go on behind the event `last`.
+/// Makes a request resume its stream after the event `last`.
 pub fn resume_after(request: &mut Request<Full<Bytes>>, last: u64) {
     if let Ok(value) = last.to_string().parse() {
         request.headers_mut().insert("last-event-id", value);
     }
 }
 
-/// Reads an answer.
+/// Reads an answer until its body ends or breaks off.
 pub async fn read(response: Response<Incoming>) -> Answer {
     let (parts, mut body) = response.into_parts();
     let mut bytes = Vec::new();
@@ -98,7 +99,7 @@
     }
 }
 
-/// The events behind `from`, up to `last`, of the answer to the generation of this id.
+/// The expected events after `from`, up to and including `last`, for the generation with this id.
 pub fn events(id: &str, from: u64, last: u64) -> String {
     let content = stable(id.as_bytes());
     (from + 1..=last)
@@ -106,7 +107,7 @@
         .collect()
 }
 
-/// The answer to the call of this id.
+/// The expected answer to the call with this id.
 pub fn receipt(id: &str) -> String {
     worker::receipt(id.as_bytes())
 }
--- a/crates/gooseberry-standin/src/site/documents.rs
+++ b/crates/gooseberry-standin/src/site/documents.rs
@@ -1,4 +1,5 @@
-//! What the operator and the backend servers of the users' platform write into its store.
+//! Rows that the operator and the backend servers write into the metadata store of the
+//! deployment's platform.
 
 use std::net::SocketAddr;
 
@@ -7,16 +8,16 @@
 /// The host name of all routes.
 pub const HOST: &str = "site.example";
 
-/// The key of the workspace `crew`.
+/// The API key of the workspace `crew`.
 pub const KEY: &str = "k1";
 
-/// The table and key of the configuration.
+/// The table and key of the configuration's row.
 pub const CONFIG: (&str, &str) = ("op", "config");
 
 /// The table of backend servers.
 pub const SERVERS: &str = "servers";
 
-/// A route for requests under `/NAME/`.
+/// A route for requests under `/{name}/`.
 pub fn route(name: &str, kind: &str, service: &str) -> Value {
     json!({
         "name": name, "host": HOST, "prefix": format!("/{name}/"), "kind": kind,
@@ -25,7 +26,8 @@
     })
 }
 
-/// A configuration with idempotent calls, calls that run once, streams, and a public route.
+/// A configuration with a route each for idempotent calls, non-idempotent calls and streams, and a
+/// public one.
 pub fn config(version: u64) -> Value {
     json!({
         "version": version,
@@ -45,7 +47,7 @@
     })
 }
 
-/// The row of a backend server; `state` is `ready` or `draining`.
+/// The row of a backend server; `state` is `ready` or `draining`, `start` its start time.
 pub fn row(addr: SocketAddr, is_engine: bool, data_centre: &str, state: &str, start: u64) -> Value {
     let service = if is_engine { "draft" } else { "crew" };
     json!({
--- a/crates/gooseberry-standin/src/site/store.rs
+++ b/crates/gooseberry-standin/src/site/store.rs
@@ -1,4 +1,4 @@
-//! The metadata store: rows in tables, whole readings, and a feed of changes.
+//! The metadata store: rows in tables, paged reads, transactions and a long-polled feed of changes.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -18,17 +18,17 @@
 use crate::faults::Faults;
 use crate::site::response;
 
-/// The largest body of a call, in bytes.
+/// The limit on a request body.
 const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// The most rows in one answer.
+/// The maximum number of rows in one page of a read.
 const MAX_ROWS: usize = 500;
 
-/// The settings of a store.
+/// The settings of a store stand-in.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Settings {
-    /// Where it listens.
+    /// The address to listen on; port 0 picks a free one.
     pub listen: SocketAddr,
 }
 
@@ -40,23 +40,25 @@
     }
 }
 
-/// The body of `POST /standin/put`: what the operator and the backend servers write.
+/// The body of `POST /standin/put`, by which tests write as the operator or a backend server.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Put {
-    /// The table.
+    /// The table of the row.
     pub table: String,
-    /// The key.
+    /// The key of the row.
     pub key: String,
-    /// The value; without one the row is removed.
+    /// The new value; `None` removes the row.
     pub value: Option<Value>,
 }
 
-/// A row, also after its removal.
+/// A row, or the tombstone of a removed one.
 #[derive(Clone, Debug)]
 struct Row {
     table: String,
     key: String,
+    /// `None` for a tombstone.
     value: Option<Vec<u8>>,
+    /// The revision of the store at the last write of this row.
     revision: u64,
 }
 
@@ -64,33 +66,34 @@
 struct Rows {
     rows: Vec<Row>,
     revision: u64,
-    /// Changes up to this revision are no longer told.
+    /// The feed answers 410 to readers that are behind this revision.
     compacted: u64,
 }
 
-/// A store.
+/// The state of a store.
 #[derive(Debug, Default)]
 pub struct Store {
     rows: Mutex<Rows>,
+    /// Notified on every write, for the waiting feeds.
     changed: Notify,
     /// The faults in force.
     pub faults: Faults,
 }
 
 impl Store {
-    /// Writes a row as the operator or a backend server does, or removes it.
+    /// Writes or removes a row as the operator or a backend server does.
     pub fn put(&self, put: &Put) {
         let value = put.value.as_ref().map(|v| v.to_string().into_bytes());
         self.write(&put.table, &put.key, value);
     }
 
-    /// Forgets the history: earlier changes are no longer told.
+    /// Compacts the change history: a feed from an earlier revision answers 410.
     pub fn compact(&self) {
         let mut rows = self.lock();
         rows.compacted = rows.revision;
     }
 
-    /// The value of a row.
+    /// The value of a row; `None` if it is absent or removed.
     pub fn get(&self, table: &str, key: &str) -> Option<Vec<u8>> {
         let rows = self.lock();
         let row = rows.rows.iter().find(|r| r.table == table && r.key == key);
@@ -156,23 +159,26 @@
     }
 }
 
-/// The value of a query parameter.
+/// The raw value of a query parameter, without percent-decoding.
 fn parameter<'a>(request: &'a Request<Incoming>, name: &str) -> Option<&'a str> {
     let query = request.uri().query()?;
     let mut fields = query.split('&').filter_map(|f| f.split_once('='));
     fields.find(|(n, _)| *n == name).map(|(_, v)| v)
 }
 
+/// A query parameter as a number, or 0 if it is absent or malformed.
 fn number(request: &Request<Incoming>, name: &str) -> u64 {
     parameter(request, name)
         .and_then(|v| v.parse().ok())
         .unwrap_or(0)
 }
 
+/// Answers `GET /rows-get`: the rows of a table by key, in pages of [`MAX_ROWS`].
 fn read(store: &Store, request: &Request<Incoming>) -> Response {
     let table = parameter(request, "table").unwrap_or_default();
     let from = parameter(request, "from").unwrap_or_default();
-    // The system asks for the keys behind one by adding a zero byte to it.
+    // The reader requests the next page from the last key with a zero byte appended, the smallest
+    // key after it.
     let after = from.strip_suffix("%00");
     let rows = store.lock();
     let mut found: Vec<&Row> = rows
@@ -187,6 +193,7 @@
     answer(&found, rows.revision, is_partial)
 }
 
+/// Answers `GET /rows-feed`: the changes after a revision; waits for one up to `wait-ms`.
 async fn feed(store: &Store, request: &Request<Incoming>) -> Response {
     let table = parameter(request, "table").unwrap_or_default();
     let since = number(request, "since-rev");
@@ -205,7 +212,7 @@
     }
 }
 
-/// The changes behind `since`, if there are any or they were forgotten.
+/// The changes after revision `since`, or 410 if they were compacted; `None` if there are none.
 fn changes(store: &Store, table: &str, since: u64) -> Option<Response> {
     let rows = store.lock();
     if since < rows.compacted {
@@ -220,6 +227,7 @@
     (!found.is_empty()).then(|| answer(&found, rows.revision, false))
 }
 
+/// Answers `POST /rows-tx`: applies the writes and deletions, without checking conditions.
 async fn transact(store: &Store, request: Request<Incoming>) -> Response {
     let body: Value = match reply::read_json(request, MAX_BODY_BYTES).await {
         Ok(body) => body,
--- a/crates/gooseberry-standin/src/site/worker.rs
+++ b/crates/gooseberry-standin/src/site/worker.rs
@@ -1,6 +1,7 @@
-//! A backend server: a model engine that answers with streams of events, or a plain service.
+//! A backend server of the deployment's platform: a model engine that answers with event streams,
+//! or a plain service.
 //!
-//! The last part of a request's path may name a misbehaviour, see [`Quirk`].
+//! The last segment of a request's path may name a fault for this request, see [`Quirk`].
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -24,31 +25,31 @@
 use crate::service::append_key;
 use crate::site::response;
 
-/// The largest request body, in bytes.
+/// The limit on a request body.
 const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// The seal of each answer.
+/// The value of `response-seal`, the header that marks an answer as made by the server itself.
 const SEAL: &str = "3e1b.07.5a2";
 
 /// The settings of a backend server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Settings {
-    /// Where it listens.
+    /// The address to listen on; port 0 picks a free one.
     pub listen: SocketAddr,
-    /// Its id.
+    /// Its instance id; requests that expect another one are answered with 421.
     pub id: String,
-    /// Whether it is an engine.
+    /// Whether it is a model engine; otherwise a plain service.
     pub engine: bool,
-    /// The time that a call takes, or a prompt, in milliseconds.
+    /// The time that a call takes, or a stream before its first event, in milliseconds.
     pub work_ms: u64,
     /// The time between two events, in milliseconds.
     pub event_ms: u64,
-    /// The events of a whole stream.
+    /// The number of events in a complete stream.
     pub events: u64,
-    /// The requests that it runs at once; more are rejected.
+    /// The maximum number of concurrent requests; more are rejected as not executed.
     pub slots: usize,
-    /// The file to which the id of each request is added before it runs.
+    /// The file to which the id of each request is appended before it runs; `None` for no record.
     pub record: Option<PathBuf>,
 }
 
@@ -67,70 +68,72 @@
     }
 }
 
-/// A misbehaviour that a request asks for by the last part of its path.
+/// A fault that a request selects by the last segment of its path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, EnumString)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Quirk {
-    /// A success without a seal.
+    /// Succeeds without a seal.
     NoSeal,
-    /// A body in another encoding.
+    /// Sends an unknown content encoding.
     Encoded,
-    /// The answer to another request.
+    /// Sends the attempt id of another request.
     Foreign,
-    /// A body that breaks off.
+    /// Breaks off within the body.
     Cut,
-    /// A failure, the first time.
+    /// Answers 500 on the first run of the request.
     FailFirst,
-    /// Not run, the first time.
+    /// Rejects the request as not executed, if it is the first such request of the test.
     RejectFirst,
-    /// Never run.
+    /// Rejects the request as not executed, always.
     Reject,
-    /// No answer.
+    /// Never answers.
     Hang,
-    /// A stream that breaks off within an event, the first time.
+    /// Breaks off the stream within an event, on the first run of the request.
     BreakFirst,
-    /// A stream that falls silent, the first time.
+    /// Stalls the stream, on the first run of the request.
     SilentFirst,
 }
 
-/// A request as a backend server saw it.
+/// A request that a backend server has run, as received.
 #[derive(Clone, Debug)]
 pub struct ReceivedRequest {
-    /// The id of the attempt.
+    /// Its `attempt-id`; empty if it had none.
     pub id: String,
-    /// The path and query.
+    /// Its path and query.
     pub path: String,
-    /// The headers.
+    /// Its headers.
     pub headers: HeaderMap,
-    /// The body.
+    /// Its body.
     pub body: Bytes,
 }
 
-/// What the backend servers of one test share.
+/// State shared by the backend servers of one test.
 #[derive(Clone, Debug, Default)]
 pub struct Shared {
-    /// Every request that ran, in order.
+    /// The requests that ran, in order of arrival.
     received: Arc<Mutex<Vec<ReceivedRequest>>>,
-    /// Requests whose caller left before the answer was whole.
+    /// Ids of the requests whose answer did not complete, and of those rejected by
+    /// [`Quirk::RejectFirst`].
     abandoned: Arc<Mutex<Vec<String>>>,
-    /// Copies of running streams: who holds them, of which request.
+    /// KV caches of running streams that are held by a backup server: its address, and the id of
+    /// the request.
     backups: Arc<Mutex<Vec<(SocketAddr, String)>>>,
 }
 
 impl Shared {
-    /// The requests that ran with this id.
+    /// The runs of the request with this id, in order.
     pub fn runs(&self, id: &str) -> Vec<ReceivedRequest> {
         let received = lock(&self.received);
         received.iter().filter(|s| s.id == id).cloned().collect()
     }
 
-    /// Whether the caller of a request left before the answer was whole.
+    /// Whether the caller disconnected before the answer was complete.
     pub fn has_left(&self, id: &str) -> bool {
         lock(&self.abandoned).iter().any(|l| l == id)
     }
 }
 
-/// A backend server.
+/// The state of a backend server.
 struct Worker {
     settings: Settings,
     addr: SocketAddr,
@@ -139,7 +142,8 @@
     running: Mutex<usize>,
 }
 
-/// Counts a request while it runs, and notes whether its caller left.
+/// A guard that counts a request as running, and on drop records it as abandoned unless its answer
+/// was complete.
 struct InFlight {
     worker: Arc<Worker>,
     id: String,
@@ -246,7 +250,7 @@
     }
 }
 
-/// Whether a misbehaviour shows only the first time that a request runs.
+/// Whether a fault applies only to the first run of a request.
 fn is_first_only(quirk: Quirk) -> bool {
     matches!(
         quirk,
@@ -254,7 +258,7 @@
     )
 }
 
-/// Whether the copy that a request refers to is here; true if it refers to none.
+/// Whether this server is a backup for the request; true if the request refers to no backup.
 fn has_backup(worker: &Worker, reference: &str, id: &str) -> bool {
     reference.is_empty()
         || lock(&worker.shared.backups)
@@ -262,7 +266,7 @@
             .any(|(backup, of)| *backup == worker.addr && of == id)
 }
 
-/// Answers a call.
+/// Answers a call to a plain service.
 async fn respond(mut running: InFlight, body: &Bytes, quirk: Option<Quirk>) -> Response {
     if quirk == Some(Quirk::Hang) {
         std::future::pending::<()>().await;
@@ -296,21 +300,21 @@
     response(status, &headers, receipt(body))
 }
 
-/// The answer to a call with this body.
+/// The body of the answer to a call with this body.
 pub fn receipt(body: &[u8]) -> String {
     format!("{:x}", stable(body))
 }
 
-/// Sends a piece of a body and breaks off.
+/// Sends a part of a body and aborts the connection.
 async fn send_truncated(mut sender: BodySender, piece: Bytes) {
     if sender.send_data(piece).await.is_ok() {
-        // The piece must be on its way before the connection ends.
+        // Lets the part be flushed before the connection is aborted.
         sleep(Duration::from_millis(20)).await;
     }
     sender.abort(StreamCut);
 }
 
-/// Answers with a stream that goes on behind the event `from`.
+/// Answers with an event stream that starts after the event `from`.
 fn stream(running: InFlight, body: &Bytes, from: u64, quirk: Option<Quirk>) -> Response {
     let (sender, mut response) = reply::events();
     let id = running.id.clone();
@@ -326,6 +330,7 @@
     response
 }
 
+/// Sends the events after `from`, and applies the faults of streams.
 async fn events(
     mut running: InFlight,
     mut sender: BodySender,
@@ -342,7 +347,7 @@
             return std::future::pending().await;
         }
         if number == middle && quirk == Some(Quirk::SilentFirst) {
-            // Ends when the caller closes the connection, which the failing send below would show.
+            // If the caller closes the connection during the stall, the send below fails.
             sleep(Duration::from_secs(600)).await;
         }
         let event = event(body_hash, number);
@@ -357,11 +362,12 @@
     running.is_complete = true;
 }
 
-/// The event of this number in the answer to a request whose body has the hash `content`.
+/// The event with this number in the answer to a request whose body has this hash.
 pub fn event(body_hash: u64, number: u64) -> String {
     format!("id: {number}\ndata: {body_hash:x}-{number}\n\n")
 }
 
+/// Answers `/report` of an engine: its load.
 fn report(worker: &Worker) -> Response {
     let running = *lock(&worker.running);
     let body = json!({
@@ -371,6 +377,7 @@
     reply::json(StatusCode::OK, &body)
 }
 
+/// Answers `/kv-move` of an engine: registers the server `to` as the backup of a request.
 async fn move_kv(worker: &Worker, request: Request<Incoming>) -> Response {
     let body: serde_json::Value = match reply::read_json(request, MAX_BODY_BYTES).await {
         Ok(body) => body,
@@ -386,6 +393,7 @@
     }
 }
 
+/// The value of a header; empty if it is absent or not text.
 fn header<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
     let value = headers.get(name).and_then(|v| v.to_str().ok());
     value.unwrap_or_default()
--- a/crates/gooseberry-standin/tests/flags.rs
+++ b/crates/gooseberry-standin/tests/flags.rs
@@ -1,4 +1,4 @@
-//! The options that print and exit.
+//! `--help` and `--version` print their text and exit with code 0.
 
 use std::process::{Command, Output};
 
