--- a/crates/gooseberry-standin/src/sequence.rs
+++ b/crates/gooseberry-standin/src/sequence.rs
@@ -1,8 +1,9 @@
 //! The deterministic token sequence of an engine stand-in, which lets a test verify an output.
 //!
 //! Token 0 is a hash of the prompt and the stream's name; each later token is a hash of the prompt
-//! and its predecessor. An output that lacks or repeats a token, or that mixes two generations,
-//! therefore fails [`check`].
+//! and its predecessor. An output with a missing or repeated token, or with tokens of two
+//! generations, therefore fails [`check`]. Tokens missing at its ends show only in the count, to be
+//! compared with [`length`].
 
 use base::hash::stable;
 use base::prelude::*;
--- a/crates/gooseberry-standin/src/site/worker.rs
+++ b/crates/gooseberry-standin/src/site/worker.rs
@@ -28,7 +28,7 @@
 /// The limit on a request body.
 const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// The value of `response-seal`, the header that marks an answer as made by the server itself.
+/// The value of the `response-seal` header; the gateway does not accept a success without one.
 const SEAL: &str = "3e1b.07.5a2";
 
 /// The settings of a backend server.
@@ -69,6 +69,8 @@
 }
 
 /// A fault that a request selects by the last segment of its path.
+///
+/// Engines ignore the faults of plain answers, and plain services those of streams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, EnumString)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Quirk {
