--- a/crates/gooseberry-standin/src/engine/batch.rs
+++ b/crates/gooseberry-standin/src/engine/batch.rs
@@ -1,4 +1,4 @@
-//! The batch of an engine: one step gives one token to each running stream.
+//! Continuous batching: each step generates one token for every running stream past its prefill.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -17,32 +17,34 @@
 use super::{Settings, Stats};
 use crate::faults::Faults;
 
-/// The prompt bytes that count as one token.
-const TOKEN_BYTES: usize = 4;
+/// The number of prompt bytes that count as one token.
+const BYTES_PER_TOKEN: usize = 4;
 
-/// The time between looks for streams without a reader.
-const SWEEP: Duration = Duration::from_secs(1);
+/// The interval between searches for streams that have had no reader for `linger_ms`.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A stream in its place.
-struct Place {
+/// A running stream.
+struct Slot {
     stream: Arc<Stream>,
     /// When its first token is due.
-    ready: Instant,
+    first_due: Instant,
 }
 
-/// All that changes in an engine.
+/// The mutable state of an engine, under one lock.
 struct Inner {
-    running: Vec<Place>,
+    running: Vec<Slot>,
+    /// Queued streams, by descending priority, then in order of arrival.
     waiting: Vec<Arc<Stream>>,
     streams: Sorted<StreamName, Arc<Stream>>,
     cache: Cache,
     stats: Stats,
     orders: OrderState,
-    loads: Vec<(Instant, Load)>,
+    /// Reports and when they were made, oldest first.
+    load_reports: Vec<(Instant, Load)>,
     random: StdRng,
 }
 
-/// An engine.
+/// An engine: its batch, queue, prefix cache and the orders it has received.
 pub(super) struct Batch {
     pub(super) settings: Settings,
     pub(super) faults: Faults,
@@ -67,7 +69,7 @@
             cache: Cache::new(settings.cache_blocks, settings.event_loss),
             stats: Stats::default(),
             orders,
-            loads: Vec::new(),
+            load_reports: Vec::new(),
             random: StdRng::seed_from_u64(settings.seed),
         };
         Self {
@@ -78,12 +80,15 @@
         }
     }
 
-    /// Takes a new stream.
+    /// Queues a new stream, or admits it at once if a slot is free.
     pub(super) fn generate(&self, request: Generate) -> Result<Arc<Stream>, Refusal> {
         let is_leaving = self.faults.state().leaving;
         let mut inner = self.lock();
         if is_leaving {
-            return Err(refusal(RefusalKind::NotReady, "the engine is leaving"));
+            return Err(refusal(
+                RefusalKind::NotReady,
+                "the engine is leaving and accepts no new streams",
+            ));
         }
         if !inner.orders.models.contains(&request.model) {
             return Err(refusal(RefusalKind::NoModel, "the model is not loaded"));
@@ -96,19 +101,19 @@
             return Err(refusal(RefusalKind::Busy, "the queue is full"));
         }
         let blocks = prompt_blocks(&request.prompt);
-        let hits = inner.cache.hits(&blocks) * engine::wire::BLOCK_BYTES / TOKEN_BYTES;
-        let whole = request.prompt.len() / TOKEN_BYTES + request.prefix.len();
-        let prefill = whole.saturating_sub(hits) as u64;
+        let hits = inner.cache.hits(&blocks) * engine::wire::BLOCK_BYTES / BYTES_PER_TOKEN;
+        let total = request.prompt.len() / BYTES_PER_TOKEN + request.prefix.len();
+        let prefill = total.saturating_sub(hits) as u64;
         let stream = Arc::new(Stream::new(request, hits as u64, prefill));
         inner.stats.streams += 1;
         inner.stats.prefill += prefill;
-        if !is_first(&stream.request.stream) {
+        if !is_first_attempt(&stream.request.stream) {
             inner.stats.again += prefill;
         }
         inner.stats.cached += hits as u64;
         let mut drops = self.faults.state().drop_events;
         inner.cache.store(&blocks, &mut drops);
-        self.faults.with(|s| s.drop_events = drops);
+        self.faults.update(|s| s.drop_events = drops);
         let name = stream.request.stream.clone();
         inner.streams.insert(name, stream.clone());
         let priority = stream.request.priority;
@@ -125,7 +130,7 @@
         self.lock().streams.get(name).cloned()
     }
 
-    /// Ends a stream; returns whether it was known.
+    /// Cancels and forgets a stream; returns whether it existed.
     pub(super) fn cancel(&self, name: &StreamName) -> bool {
         let mut inner = self.lock();
         let Some(stream) = inner.streams.remove(name) else {
@@ -136,7 +141,7 @@
         true
     }
 
-    /// What the engine has done.
+    /// The counters since the start, with the current number of live streams.
     pub(super) fn stats(&self) -> Stats {
         let inner = self.lock();
         Stats {
@@ -145,13 +150,15 @@
         }
     }
 
-    /// The cache events after number `after`.
+    /// The cache events with a sequence number above `after` that are older than the event lag.
     pub(super) fn events(&self, after: u64) -> Vec<engine::wire::CacheEvent> {
         let lag = Duration::from_millis(self.settings.event_lag_ms);
         self.lock().cache.events(after, lag)
     }
 
-    /// The newest load report that is old enough to be out.
+    /// The newest load report that is older than the load lag, or the oldest one if none is.
+    ///
+    /// Each call also makes the report of now, unless reports are frozen.
     pub(super) fn load(&self) -> Load {
         let faults = self.faults.state();
         let lag = Duration::from_millis(self.settings.load_lag_ms);
@@ -167,18 +174,21 @@
             age_ms: 0,
         };
         if !faults.freeze_load {
-            inner.loads.push((now, current.clone()));
+            inner.load_reports.push((now, current.clone()));
         }
-        let is_out = |at: Instant| now.duration_since(at) >= lag;
-        // The last report that is out stays; those before it are of no more use.
-        let last = inner.loads.iter().rposition(|(at, _)| is_out(*at));
+        let is_visible = |at: Instant| now.duration_since(at) >= lag;
+        // Reports before the newest visible one will never be returned again.
+        let last = inner
+            .load_reports
+            .iter()
+            .rposition(|(at, _)| is_visible(*at));
         if let Some(i) = last {
-            inner.loads.drain(..i);
+            inner.load_reports.drain(..i);
         }
-        match inner.loads.first() {
+        match inner.load_reports.first() {
             Some((at, report)) => Load {
                 age_ms: now.duration_since(*at).as_millis() as u64,
-                // Whether an engine leaves does not lag: it refuses work by itself.
+                // `leaving` is always current, because the engine refuses work at once.
                 leaving: faults.leaving,
                 ..report.clone()
             },
@@ -186,19 +196,19 @@
         }
     }
 
-    /// What orders have led to.
+    /// The models loaded and loading, the role and the highest fencing number.
     pub(super) fn order_state(&self) -> OrderState {
         self.lock().orders.clone()
     }
 
-    /// Takes an order.
+    /// Applies an order: unloads models that it does not list, and starts to load new ones.
     pub(super) fn order(self: &Arc<Self>, order: Order) -> Result<OrderState, Refusal> {
         let mut inner = self.lock();
         if self.settings.checks_fence && order.fence < inner.orders.fence {
             inner.stats.fenced += 1;
             return Err(refusal(
                 RefusalKind::Fenced,
-                "a higher fencing number was seen",
+                "an order with a higher fencing number was accepted before",
             ));
         }
         let state = &mut inner.orders;
@@ -216,55 +226,55 @@
         Ok(inner.orders.clone())
     }
 
-    /// One step of the batch; returns how long the next one takes.
+    /// Runs one step of the batch; returns the time until the next one.
     fn step(&self) -> Duration {
         let mut inner = self.lock();
         let now = Instant::now();
-        let mut given = 0;
+        let mut emitted = 0;
         let mut ended = Vec::new();
-        inner.running.retain(|place| {
-            if place.ready > now {
+        inner.running.retain(|slot| {
+            if slot.first_due > now {
                 return true;
             }
-            given += 1;
-            let goes_on = place.stream.step();
-            if !goes_on {
-                ended.push(place.stream.clone());
+            emitted += 1;
+            let is_unfinished = slot.stream.step();
+            if !is_unfinished {
+                ended.push(slot.stream.clone());
             }
-            goes_on
+            is_unfinished
         });
-        inner.stats.decode += given;
+        inner.stats.decode += emitted;
         self.admit(&mut inner);
         let jitter = match self.settings.jitter_ms {
             0 => 0,
-            most => inner.random.random_range(0..=most),
+            max => inner.random.random_range(0..=max),
         };
         Duration::from_millis(self.settings.gap_ms + jitter)
     }
 
-    /// Lets waiting streams take free places.
+    /// Moves queued streams into free slots.
     fn admit(&self, inner: &mut Inner) {
         while inner.running.len() < self.settings.slots && !inner.waiting.is_empty() {
             let stream = inner.waiting.remove(0);
             let first = Duration::from_millis(self.settings.first_ms);
             let prefill = Duration::from_micros(self.settings.prefill_us * stream.prefill);
-            let ready = Instant::now() + first + prefill;
-            inner.running.push(Place { stream, ready });
+            let first_due = Instant::now() + first + prefill;
+            inner.running.push(Slot { stream, first_due });
         }
     }
 
-    /// Ends streams that nobody has read for a while.
+    /// Cancels and forgets streams that have had no reader for `linger_ms`.
     fn sweep(&self) {
         let linger = Duration::from_millis(self.settings.linger_ms);
         let mut inner = self.lock();
-        let is_left = |s: &Arc<Stream>| s.alone_since().is_some_and(|t| t.elapsed() >= linger);
-        let left: Vec<Arc<Stream>> = inner
+        let is_abandoned = |s: &Arc<Stream>| s.idle_since().is_some_and(|t| t.elapsed() >= linger);
+        let abandoned: Vec<Arc<Stream>> = inner
             .streams
             .iter()
-            .filter(|(_, s)| is_left(s))
+            .filter(|(_, s)| is_abandoned(s))
             .map(|(_, s)| s.clone())
             .collect();
-        for stream in left {
+        for stream in abandoned {
             inner.streams.remove(&stream.request.stream);
             drop_stream(&mut inner, &stream);
         }
@@ -276,26 +286,26 @@
     }
 }
 
-/// Whether a stream is the first attempt of its generation, as its name tells.
-fn is_first(name: &StreamName) -> bool {
+/// Whether a stream is the first attempt of its generation: its name ends in the attempt's number.
+fn is_first_attempt(name: &StreamName) -> bool {
     name.0.rsplit('-').next() == Some("1")
 }
 
-/// Steps the batch for ever.
+/// Runs the steps of the batch and the sweeps, until aborted.
 pub(super) async fn run(batch: Arc<Batch>) {
-    let mut swept = Instant::now();
+    let mut last_sweep = Instant::now();
     loop {
-        let pace = batch.step();
-        sleep(pace).await;
-        batch.faults.pause().await;
-        if swept.elapsed() >= SWEEP {
-            swept = Instant::now();
+        let step_time = batch.step();
+        sleep(step_time).await;
+        batch.faults.wait_paused().await;
+        if last_sweep.elapsed() >= SWEEP_INTERVAL {
+            last_sweep = Instant::now();
             batch.sweep();
         }
     }
 }
 
-/// Puts a model into memory once it is loaded, if it is still wanted.
+/// Marks a model as loaded after `load_ms`, unless a later order has dropped it.
 async fn finish_loading(batch: Arc<Batch>, model: Model) {
     sleep(Duration::from_millis(batch.settings.load_ms)).await;
     let mut inner = batch.lock();
@@ -306,7 +316,7 @@
     }
 }
 
-/// Takes a stream out of the batch.
+/// Cancels a stream and removes it from the batch and the queue.
 fn drop_stream(inner: &mut Inner, stream: &Arc<Stream>) {
     stream.cancel();
     let before = inner.running.len() + inner.waiting.len();
--- a/crates/gooseberry-standin/src/engine/stream.rs
+++ b/crates/gooseberry-standin/src/engine/stream.rs
@@ -1,4 +1,4 @@
-//! One stream of an engine.
+//! One output stream of an engine, shared by the batch that generates it and by its readers.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -10,45 +10,52 @@
 
 use crate::sequence;
 
-/// A stream and the tokens that it has given.
+/// A stream and the tokens generated so far.
 #[derive(Debug)]
 pub(super) struct Stream {
     pub(super) request: Generate,
-    /// The offset of the first token given.
+    /// The offset of the first token generated; the prefix of the request lies before it.
     pub(super) start: u64,
+    /// The tokens of prompt and prefix that were found in the cache.
     pub(super) cached: u64,
+    /// The tokens of prompt and prefix that had to be computed.
     pub(super) prefill: u64,
+    /// The number of tokens in the complete output, prefix included.
     length: u64,
     finish: Finish,
     tokens: Mutex<Vec<Token>>,
-    /// The offset after the last token.
-    next: watch::Sender<u64>,
+    /// The offset after the last token generated.
+    next_offset: watch::Sender<u64>,
     readers: AtomicU64,
-    /// Since when there is no reader.
-    alone: Mutex<Instant>,
+    /// When the last reader left, or the stream was created; unused while there are readers.
+    idle_start: Mutex<Instant>,
     is_cancelled: AtomicBool,
 }
 
 impl Stream {
     pub(super) fn new(request: Generate, cached: u64, prefill: u64) -> Self {
-        let (length, stops) = sequence::length(&request.prompt, request.max_tokens);
+        let (length, is_stop) = sequence::length(&request.prompt, request.max_tokens);
         let start = request.prefix.len() as u64;
         Self {
             start,
             cached,
             prefill,
             length,
-            finish: if stops { Finish::Stop } else { Finish::Length },
+            finish: if is_stop {
+                Finish::Stop
+            } else {
+                Finish::Length
+            },
             tokens: Mutex::new(Vec::new()),
-            next: watch::Sender::new(start),
+            next_offset: watch::Sender::new(start),
             readers: AtomicU64::new(0),
-            alone: Mutex::new(Instant::now()),
+            idle_start: Mutex::new(Instant::now()),
             is_cancelled: AtomicBool::new(false),
             request,
         }
     }
 
-    /// Gives the next token; returns whether the stream goes on.
+    /// Generates the next token; returns whether more follow.
     pub(super) fn step(&self) -> bool {
         let mut tokens = self.tokens.lock().unwrap_or_else(|e| e.into_inner());
         let next = self.start + tokens.len() as u64;
@@ -58,12 +65,12 @@
         let prompt = &self.request.prompt;
         let previous = tokens.last().map(|t| t.id);
         let token = match previous.or(self.request.prefix.last().copied()) {
-            Some(id) => sequence::following(prompt, id),
-            None => sequence::first(prompt, &self.request.stream.0),
+            Some(id) => sequence::next_token(prompt, id),
+            None => sequence::first_token(prompt, &self.request.stream.0),
         };
         tokens.push(token);
         drop(tokens);
-        self.next.send_replace(next + 1);
+        self.next_offset.send_replace(next + 1);
         next + 1 < self.length
     }
 
@@ -77,42 +84,42 @@
             .unwrap_or_default()
     }
 
-    /// A subscription to the offset after the last token.
+    /// Subscribes to the offset after the last token; cancellation notifies it as well.
     pub(super) fn subscribe(&self) -> watch::Receiver<u64> {
-        self.next.subscribe()
+        self.next_offset.subscribe()
     }
 
-    /// The length of the whole output and why it ends there.
+    /// The number of tokens in the complete output, and why it ends there.
     pub(super) fn end(&self) -> (u64, Finish) {
         (self.length, self.finish)
     }
 
     pub(super) fn cancel(&self) {
         self.is_cancelled.store(true, Ordering::Relaxed);
-        // Wakes the readers, who close their connections.
-        self.next.send_modify(|_| ());
+        // Wakes the readers, so that they abort their connections.
+        self.next_offset.send_modify(|_| ());
     }
 
     pub(super) fn is_cancelled(&self) -> bool {
         self.is_cancelled.load(Ordering::Relaxed)
     }
 
-    /// Counts a reader in.
-    pub(super) fn join(&self) {
+    /// Increments the number of readers.
+    pub(super) fn add_reader(&self) {
         self.readers.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts a reader out.
-    pub(super) fn leave(&self) {
+    /// Decrements the number of readers and restarts the idle time.
+    pub(super) fn remove_reader(&self) {
         self.readers.fetch_sub(1, Ordering::Relaxed);
-        *self.alone.lock().unwrap_or_else(|e| e.into_inner()) = Instant::now();
+        *self.idle_start.lock().unwrap_or_else(|e| e.into_inner()) = Instant::now();
     }
 
-    /// Since when there is no reader, if there is none.
-    pub(super) fn alone_since(&self) -> Option<Instant> {
+    /// When the last reader left; `None` while there are readers.
+    pub(super) fn idle_since(&self) -> Option<Instant> {
         if self.readers.load(Ordering::Relaxed) > 0 {
             return None;
         }
-        Some(*self.alone.lock().unwrap_or_else(|e| e.into_inner()))
+        Some(*self.idle_start.lock().unwrap_or_else(|e| e.into_inner()))
     }
 }
--- a/crates/gooseberry-standin/src/platform.rs
+++ b/crates/gooseberry-standin/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform stand-in: table, object store and lagging host list.
+//! The platform stand-in: a transactional table, an object store, and a host list with a lag.
 
 mod http;
 mod table;
@@ -22,23 +22,23 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Settings {
-    /// Where it listens.
+    /// The address to listen on; port 0 picks a free one.
     pub listen: SocketAddr,
     /// The time that a write takes, in milliseconds.
     pub write_ms: u64,
     /// The time that a read takes, in milliseconds.
     pub read_ms: u64,
-    /// The most writes a second; more are refused.
+    /// The rate limit on writes, per second; more are refused.
     pub writes: u64,
-    /// The most reads a second; more are refused.
+    /// The rate limit on reads, per second; more are refused.
     pub reads: u64,
-    /// By how much the host list lags, in milliseconds.
+    /// The delay until a change of the host list is visible to readers, in milliseconds.
     pub lag_ms: u64,
     /// The time that loading one model's weights takes, in milliseconds.
     pub weights_ms: u64,
-    /// The most weight loads at once; more are refused.
+    /// The maximum number of concurrent weight loads; more are refused.
     pub weight_loads: usize,
-    /// The hosts known at the start.
+    /// The host list at the start.
     pub hosts: Vec<Host>,
 }
 
@@ -58,92 +58,95 @@
     }
 }
 
-/// What the platform has done; `GET /stats`.
+/// Counters of the platform since its start, returned by `GET /stats`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Stats {
-    /// Transactions and objects written.
+    /// Writes admitted: transactions, and objects or hosts written or deleted by PUT or DELETE.
     pub writes: u64,
-    /// Reads, scans and objects read.
+    /// All other calls admitted.
     pub reads: u64,
-    /// Calls refused for their rate.
+    /// Calls refused by the rate limits.
     pub throttled: u64,
-    /// Bytes of bodies that went out.
+    /// Bytes of response bodies; always 0, as they are not counted.
     pub bytes_out: u64,
 }
 
-/// All that the platform keeps.
+/// The mutable state of the platform, under one lock.
 #[derive(Debug, Default)]
-struct Kept {
+struct State {
     table: Table,
     objects: Sorted<String, Value>,
+    /// All revisions of the host list and when they were made, oldest first.
     hosts: Vec<(Instant, HostList)>,
     stats: Stats,
-    loads: usize,
-    /// The second for which calls are counted, and the calls in it.
+    /// The number of weight loads in progress.
+    weight_loads: usize,
+    /// The current one-second window of the rate limits: its start, its reads and its writes.
     window: Option<(Instant, u64, u64)>,
 }
 
-/// The platform.
+/// The platform, shared by its request handlers.
 #[derive(Debug)]
 struct Platform {
     settings: Settings,
     faults: Faults,
-    kept: Mutex<Kept>,
+    state: Mutex<State>,
 }
 
 impl Platform {
     fn new(settings: Settings) -> Self {
-        let mut kept = Kept::default();
+        let mut state = State::default();
         let mut hosts = settings.hosts.clone();
         hosts.sort_by(|a, b| a.name.cmp(&b.name));
-        kept.hosts
+        state
+            .hosts
             .push((Instant::now(), HostList { revision: 1, hosts }));
         Self {
             settings,
             faults: Faults::default(),
-            kept: Mutex::new(kept),
+            state: Mutex::new(state),
         }
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Kept> {
-        self.kept.lock().unwrap_or_else(|e| e.into_inner())
+    fn lock(&self) -> std::sync::MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// Counts a call against its rate; returns whether it may go on.
+    /// Counts a call against its rate limit; returns whether it is admitted.
     fn admit(&self, is_write: bool) -> bool {
-        let mut kept = self.lock();
+        let mut state = self.lock();
         let now = Instant::now();
-        let is_fresh = |w: &(Instant, u64, u64)| now.duration_since(w.0) < Duration::from_secs(1);
-        let (start, reads, writes) = kept.window.filter(is_fresh).unwrap_or((now, 0, 0));
+        let is_current = |w: &(Instant, u64, u64)| now.duration_since(w.0) < Duration::from_secs(1);
+        let (start, reads, writes) = state.window.filter(is_current).unwrap_or((now, 0, 0));
         let (reads, writes) = if is_write {
             (reads, writes + 1)
         } else {
             (reads + 1, writes)
         };
-        kept.window = Some((start, reads, writes));
+        state.window = Some((start, reads, writes));
         let is_over = reads > self.settings.reads || writes > self.settings.writes;
         match (is_over, is_write) {
-            (true, _) => kept.stats.throttled += 1,
-            (false, true) => kept.stats.writes += 1,
-            (false, false) => kept.stats.reads += 1,
+            (true, _) => state.stats.throttled += 1,
+            (false, true) => state.stats.writes += 1,
+            (false, false) => state.stats.reads += 1,
         }
         !is_over
     }
 
-    /// The host list as it was some time ago.
+    /// The newest host list that is older than the lag, or the first one if none is.
     fn hosts(&self) -> HostList {
         let lag = Duration::from_millis(self.settings.lag_ms);
-        let kept = self.lock();
-        let is_out = |(at, _): &&(Instant, HostList)| at.elapsed() >= lag;
-        let newest = kept.hosts.iter().rfind(is_out).or(kept.hosts.first());
+        let state = self.lock();
+        let is_visible = |(at, _): &&(Instant, HostList)| at.elapsed() >= lag;
+        let newest = state.hosts.iter().rfind(is_visible).or(state.hosts.first());
         newest.map(|(_, list)| list.clone()).unwrap_or_default()
     }
 
-    /// Puts an entry into the host list.
+    /// Adds or replaces an entry of the host list, in a new revision.
     fn put_host(&self, host: Host) {
-        let mut kept = self.lock();
-        let mut list = kept
+        let mut state = self.lock();
+        let mut list = state
             .hosts
             .last()
             .map(|(_, l)| l.clone())
@@ -153,20 +156,20 @@
             Ok(i) => list.hosts[i] = host,
             Err(i) => list.hosts.insert(i, host),
         }
-        kept.hosts.push((Instant::now(), list));
+        state.hosts.push((Instant::now(), list));
     }
 
-    /// Takes an entry out of the host list.
+    /// Removes an entry of the host list, in a new revision.
     fn remove_host(&self, name: &str) {
-        let mut kept = self.lock();
-        let mut list = kept
+        let mut state = self.lock();
+        let mut list = state
             .hosts
             .last()
             .map(|(_, l)| l.clone())
             .unwrap_or_default();
         list.revision += 1;
         list.hosts.retain(|h| h.name != name);
-        kept.hosts.push((Instant::now(), list));
+        state.hosts.push((Instant::now(), list));
     }
 }
 
--- a/crates/gooseberry-standin/src/service.rs
+++ b/crates/gooseberry-standin/src/service.rs
@@ -1,4 +1,4 @@
-//! The plain service stand-in: it counts how often each key was run.
+//! The plain service stand-in: counts how often the call of each idempotency key was run.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -19,24 +19,24 @@
 
 use crate::faults::Faults;
 
-/// The largest request body, in bytes.
-const MAX_BYTES: usize = 16 * 1024 * 1024;
+/// The limit on a request body.
+const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
-/// The header that names a request.
+/// The header with the idempotency key of a call.
 const KEY_HEADER: &str = "idempotency-key";
 
 /// The settings of a plain service stand-in.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Settings {
-    /// Where it listens.
+    /// The address to listen on; port 0 picks a free one.
     pub listen: SocketAddr,
     /// The time that one call takes, in milliseconds.
     pub work_ms: u64,
-    /// The number of calls that it says it runs at once.
+    /// The number of slots in its load report; it is not enforced.
     pub slots: u64,
-    /// The file to which the key of each call is added before it runs, so that it outlives the
-    /// process.
+    /// The file to which the key of each call is appended before it runs, so that the record
+    /// survives the process; `None` for no record.
     pub record: Option<PathBuf>,
 }
 
@@ -51,21 +51,21 @@
     }
 }
 
-/// How often a key was run; a list of these answers `GET /runs`.
+/// How often the call of a key was run; `GET /runs` returns a list of these.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Runs {
-    /// The key.
+pub struct RunCount {
+    /// The idempotency key; empty for calls without one.
     pub key: String,
-    /// How often its call ran.
+    /// The number of runs.
     pub count: u64,
 }
 
-/// The body of each answer of the service.
+/// The body of each answer of the service, for the caller to verify.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Receipt {
-    /// The key of the call, as the service saw it.
+    /// The idempotency key as received; empty if the call had none.
     pub key: String,
-    /// The number of the run over all keys.
+    /// The number of the run, counted from 1 over all keys.
     pub run: u64,
     /// The path of the call.
     pub path: String,
@@ -73,7 +73,7 @@
     pub body: String,
 }
 
-/// A plain service.
+/// The state of a plain service.
 struct Service {
     settings: Settings,
     faults: Faults,
@@ -99,10 +99,10 @@
 
 async fn handle(service: Arc<Service>, request: Request<Incoming>) -> Response {
     match (request.method(), request.uri().path()) {
-        (_, "/faults") => return service.faults.switch(request).await,
-        (&Method::GET, "/runs") => return reply::json(StatusCode::OK, &service.list()),
+        (_, "/faults") => return service.faults.handle_request(request).await,
+        (&Method::GET, "/runs") => return reply::json(StatusCode::OK, &service.run_counts()),
         (&Method::GET, "/v1/load") => return reply::json(StatusCode::OK, &service.load()),
-        // What is asked of engines only is no call of this service.
+        // Only engines have this path; without this arm the request would count as a call.
         (&Method::GET, "/v1/cache/events") => {
             return reply::json(StatusCode::NOT_FOUND, &"no such path");
         }
@@ -112,27 +112,27 @@
         let message = "the server is leaving; nothing was run";
         return reply::json(StatusCode::SERVICE_UNAVAILABLE, &message);
     }
-    work(&service, request).await
+    run_call(&service, request).await
 }
 
 /// Runs one call.
-async fn work(service: &Service, request: Request<Incoming>) -> Response {
+async fn run_call(service: &Service, request: Request<Incoming>) -> Response {
     let path = request.uri().path().to_owned();
     let key = request.headers().get(KEY_HEADER);
     let key = key
         .and_then(|v| v.to_str().ok())
         .unwrap_or_default()
         .to_owned();
-    let body = match reply::read_bytes(request.into_body(), MAX_BYTES).await {
+    let body = match reply::read_bytes(request.into_body(), MAX_BODY_BYTES).await {
         Ok(body) => String::from_utf8_lossy(&body).into_owned(),
         Err(e) => return reply::json(StatusCode::BAD_REQUEST, &e.to_string()),
     };
     let run = service.count(&key);
-    change(&service.running, 1);
+    adjust(&service.running, 1);
     sleep(Duration::from_millis(service.settings.work_ms)).await;
     service.faults.count_call();
-    service.faults.hold().await;
-    change(&service.running, -1);
+    service.faults.inject_delay().await;
+    adjust(&service.running, -1);
     let receipt = Receipt {
         key,
         run,
@@ -143,10 +143,10 @@
 }
 
 impl Service {
-    /// Counts a run of `key` and returns its number over all keys.
+    /// Counts a run of `key`, appends it to the record and returns its number over all keys.
     fn count(&self, key: &str) -> u64 {
         if let Some(file) = &self.settings.record {
-            record(file, key);
+            append_key(file, key);
         }
         let mut runs = self.runs.lock().unwrap_or_else(|e| e.into_inner());
         *runs.entry(key.to_owned(), || 0) += 1;
@@ -155,13 +155,13 @@
         *total
     }
 
-    fn list(&self) -> Vec<Runs> {
+    fn run_counts(&self) -> Vec<RunCount> {
         let runs = self.runs.lock().unwrap_or_else(|e| e.into_inner());
-        let one = |(key, count): (&String, &u64)| Runs {
+        let run_count = |(key, count): (&String, &u64)| RunCount {
             key: key.clone(),
             count: *count,
         };
-        runs.iter().map(one).collect()
+        runs.iter().map(run_count).collect()
     }
 
     fn load(&self) -> Load {
@@ -175,21 +175,24 @@
     }
 }
 
-/// Adds a key to the file; what is written stays when the process is killed.
-pub(crate) fn record(file: &PathBuf, key: &str) {
+/// Appends a key to the file, unbuffered, so that it is kept if the process is killed.
+pub(crate) fn append_key(file: &PathBuf, key: &str) {
     let opened = std::fs::File::options()
         .create(true)
         .append(true)
         .open(file);
-    let written = opened.and_then(|mut f| f.write_all(format!("{key}\n").as_bytes()));
-    if let Err(e) = written {
-        // A run that is not counted would make the measurement worthless.
-        eprintln!("{}: {e}; name a file that can be written", file.display());
+    let result = opened.and_then(|mut f| f.write_all(format!("{key}\n").as_bytes()));
+    if let Err(e) = result {
+        // A run that is not recorded would invalidate the measurement.
+        eprintln!(
+            "cannot append to {}: {e}; set `record` to a writable file",
+            file.display()
+        );
         std::process::abort();
     }
 }
 
-fn change(count: &Mutex<u64>, by: i64) {
+fn adjust(count: &Mutex<u64>, by: i64) {
     let mut count = count.lock().unwrap_or_else(|e| e.into_inner());
     *count = count.saturating_add_signed(by);
 }
--- a/crates/gooseberry-standin/src/site/worker.rs
+++ b/crates/gooseberry-standin/src/site/worker.rs
@@ -1,6 +1,7 @@
-//! A backend server: a model engine that answers with streams of events, or a plain service.
+//! A backend server of the deployment's platform: a model engine that answers with event streams,
+//! or a plain service.
 //!
-//! The last part of a request's path may name a misbehaviour, see [`Quirk`].
+//! The last segment of a request's path may name a fault for this request, see [`Quirk`].
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -21,34 +22,34 @@
 use web::{BodySender, Response, StreamCut, reply};
 
 use crate::faults::Faults;
-use crate::service::record;
+use crate::service::append_key;
 use crate::site::response;
 
-/// The largest request body, in bytes.
-const MAX_BYTES: usize = 16 << 20;
+/// The limit on a request body.
+const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// The seal of each answer.
+/// The value of the `response-seal` header; the gateway does not accept a success without one.
 const SEAL: &str = "3e1b.07.5a2";
 
 /// The settings of a backend server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Settings {
-    /// Where it listens.
+    /// The address to listen on; port 0 picks a free one.
     pub listen: SocketAddr,
-    /// Its id.
+    /// Its instance id; requests that expect another one are answered with 421.
     pub id: String,
-    /// Whether it is an engine.
+    /// Whether it is a model engine; otherwise a plain service.
     pub engine: bool,
-    /// The time that a call takes, or a prompt, in milliseconds.
+    /// The time that a call takes, or a stream before its first event, in milliseconds.
     pub work_ms: u64,
     /// The time between two events, in milliseconds.
     pub event_ms: u64,
-    /// The events of a whole stream.
+    /// The number of events in a complete stream.
     pub events: u64,
-    /// The requests that it runs at once; more are rejected.
+    /// The maximum number of concurrent requests; more are rejected as not executed.
     pub slots: usize,
-    /// The file to which the id of each request is added before it runs.
+    /// The file to which the id of each request is appended before it runs; `None` for no record.
     pub record: Option<PathBuf>,
 }
 
@@ -67,70 +68,74 @@
     }
 }
 
-/// A misbehaviour that a request asks for by the last part of its path.
+/// A fault that a request selects by the last segment of its path.
+///
+/// Engines ignore the faults of plain answers, and plain services those of streams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, EnumString)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Quirk {
-    /// A success without a seal.
+    /// Succeeds without a seal.
     NoSeal,
-    /// A body in another encoding.
+    /// Sends an unknown content encoding.
     Encoded,
-    /// The answer to another request.
+    /// Sends the attempt id of another request.
     Foreign,
-    /// A body that breaks off.
+    /// Breaks off within the body.
     Cut,
-    /// A failure, the first time.
+    /// Answers 500 on the first run of the request.
     FailFirst,
-    /// Not run, the first time.
+    /// Rejects the request as not executed, if it is the first such request of the test.
     RejectFirst,
-    /// Never run.
+    /// Rejects the request as not executed, always.
     Reject,
-    /// No answer.
+    /// Never answers.
     Hang,
-    /// A stream that breaks off within an event, the first time.
+    /// Breaks off the stream within an event, on the first run of the request.
     BreakFirst,
-    /// A stream that falls silent, the first time.
+    /// Stalls the stream, on the first run of the request.
     SilentFirst,
 }
 
-/// A request as a backend server saw it.
+/// A request that a backend server has run, as received.
 #[derive(Clone, Debug)]
-pub struct Seen {
-    /// The id of the attempt.
+pub struct ReceivedRequest {
+    /// Its `attempt-id`; empty if it had none.
     pub id: String,
-    /// The path and query.
+    /// Its path and query.
     pub path: String,
-    /// The headers.
+    /// Its headers.
     pub headers: HeaderMap,
-    /// The body.
+    /// Its body.
     pub body: Bytes,
 }
 
-/// What the backend servers of one test share.
+/// State shared by the backend servers of one test.
 #[derive(Clone, Debug, Default)]
 pub struct Shared {
-    /// Every request that ran, in order.
-    seen: Arc<Mutex<Vec<Seen>>>,
-    /// Requests whose caller left before the answer was whole.
-    left: Arc<Mutex<Vec<String>>>,
-    /// Copies of running streams: who holds them, of which request.
-    copies: Arc<Mutex<Vec<(SocketAddr, String)>>>,
+    /// The requests that ran, in order of arrival.
+    received: Arc<Mutex<Vec<ReceivedRequest>>>,
+    /// Ids of the requests whose answer did not complete, and of those rejected by
+    /// [`Quirk::RejectFirst`].
+    abandoned: Arc<Mutex<Vec<String>>>,
+    /// KV caches of running streams that are held by a backup server: its address, and the id of
+    /// the request.
+    backups: Arc<Mutex<Vec<(SocketAddr, String)>>>,
 }
 
 impl Shared {
-    /// The requests that ran with this id.
-    pub fn runs(&self, id: &str) -> Vec<Seen> {
-        let seen = lock(&self.seen);
-        seen.iter().filter(|s| s.id == id).cloned().collect()
+    /// The runs of the request with this id, in order.
+    pub fn runs(&self, id: &str) -> Vec<ReceivedRequest> {
+        let received = lock(&self.received);
+        received.iter().filter(|s| s.id == id).cloned().collect()
     }
 
-    /// Whether the caller of a request left before the answer was whole.
+    /// Whether the caller disconnected before the answer was complete.
     pub fn has_left(&self, id: &str) -> bool {
-        lock(&self.left).iter().any(|l| l == id)
+        lock(&self.abandoned).iter().any(|l| l == id)
     }
 }
 
-/// A backend server.
+/// The state of a backend server.
 struct Worker {
     settings: Settings,
     addr: SocketAddr,
@@ -139,18 +144,19 @@
     running: Mutex<usize>,
 }
 
-/// Counts a request while it runs, and notes whether its caller left.
-struct Running {
+/// A guard that counts a request as running, and on drop records it as abandoned unless its answer
+/// was complete.
+struct InFlight {
     worker: Arc<Worker>,
     id: String,
-    is_whole: bool,
+    is_complete: bool,
 }
 
-impl Drop for Running {
+impl Drop for InFlight {
     fn drop(&mut self) {
         *lock(&self.worker.running) -= 1;
-        if !self.is_whole {
-            lock(&self.worker.shared.left).push(self.id.clone());
+        if !self.is_complete {
+            lock(&self.worker.shared.abandoned).push(self.id.clone());
         }
     }
 }
@@ -176,39 +182,39 @@
 
 async fn handle(worker: Arc<Worker>, request: Request<Incoming>) -> Response {
     match request.uri().path() {
-        "/faults" => return worker.faults.switch(request).await,
+        "/faults" => return worker.faults.handle_request(request).await,
         "/report" if worker.settings.engine => return report(&worker),
-        "/kv-move" if worker.settings.engine => return copy(&worker, request).await,
+        "/kv-move" if worker.settings.engine => return move_kv(&worker, request).await,
         _ => {}
     }
-    let expected = text(request.headers(), "expect-instance");
+    let expected = header(request.headers(), "expect-instance");
     if !expected.is_empty() && expected != worker.settings.id {
         let headers = [("instance-id", worker.settings.id.as_str())];
         return response(StatusCode::MISDIRECTED_REQUEST, &headers, "");
     }
-    work(worker, request).await
+    run_request(worker, request).await
 }
 
-async fn work(worker: Arc<Worker>, request: Request<Incoming>) -> Response {
+async fn run_request(worker: Arc<Worker>, request: Request<Incoming>) -> Response {
     let (head, body) = request.into_parts();
-    let id = text(&head.headers, "attempt-id").to_owned();
+    let id = header(&head.headers, "attempt-id").to_owned();
     let path = head.uri.path().to_owned();
     let quirk = path.rsplit('/').next().and_then(|q| q.parse().ok());
-    let body = match reply::read_bytes(body, MAX_BYTES).await {
+    let body = match reply::read_bytes(body, MAX_BODY_BYTES).await {
         Ok(body) => body,
         Err(e) => return response(StatusCode::BAD_REQUEST, &[], e.to_string()),
     };
     let is_first = worker.shared.runs(&id).is_empty();
     let is_rejected = match quirk {
-        Some(Quirk::RejectFirst) => is_first && lock(&worker.shared.left).is_empty(),
+        Some(Quirk::RejectFirst) => is_first && lock(&worker.shared.abandoned).is_empty(),
         Some(Quirk::Reject) => true,
         _ => false,
     };
-    let copy = text(&head.headers, "kv-from");
+    let source = header(&head.headers, "kv-from");
     let is_full = *lock(&worker.running) >= worker.settings.slots;
-    if is_rejected || is_full || !has_copy(&worker, copy, &id) {
+    if is_rejected || is_full || !has_backup(&worker, source, &id) {
         if quirk == Some(Quirk::RejectFirst) {
-            lock(&worker.shared.left).push(id);
+            lock(&worker.shared.abandoned).push(id);
         }
         return response(
             StatusCode::SERVICE_UNAVAILABLE,
@@ -217,53 +223,53 @@
         );
     }
     if let Some(file) = &worker.settings.record {
-        record(file, &id);
+        append_key(file, &id);
     }
-    let holder = text(&head.headers, "kv-backup").parse();
-    if let Ok(holder) = holder {
-        lock(&worker.shared.copies).push((holder, id.clone()));
+    let backup = header(&head.headers, "kv-backup").parse();
+    if let Ok(backup) = backup {
+        lock(&worker.shared.backups).push((backup, id.clone()));
     }
-    let from = text(&head.headers, "last-event-id").parse().unwrap_or(0);
-    lock(&worker.shared.seen).push(Seen {
+    let from = header(&head.headers, "last-event-id").parse().unwrap_or(0);
+    lock(&worker.shared.received).push(ReceivedRequest {
         id: id.clone(),
         path: head.uri.to_string(),
         headers: head.headers,
         body: body.clone(),
     });
     *lock(&worker.running) += 1;
-    let running = Running {
+    let running = InFlight {
         worker: Arc::clone(&worker),
         id,
-        is_whole: false,
+        is_complete: false,
     };
-    let quirk = quirk.filter(|q| is_first || !is_once(*q));
+    let quirk = quirk.filter(|q| is_first || !is_first_only(*q));
     sleep(Duration::from_millis(worker.settings.work_ms)).await;
-    worker.faults.hold().await;
+    worker.faults.inject_delay().await;
     if worker.settings.engine {
         stream(running, &body, from, quirk)
     } else {
-        answer(running, &body, quirk).await
+        respond(running, &body, quirk).await
     }
 }
 
-/// Whether a misbehaviour shows only the first time that a request runs.
-fn is_once(quirk: Quirk) -> bool {
+/// Whether a fault applies only to the first run of a request.
+fn is_first_only(quirk: Quirk) -> bool {
     matches!(
         quirk,
         Quirk::FailFirst | Quirk::BreakFirst | Quirk::SilentFirst
     )
 }
 
-/// Whether the copy that a request refers to is here; true if it refers to none.
-fn has_copy(worker: &Worker, reference: &str, id: &str) -> bool {
+/// Whether this server is a backup for the request; true if the request refers to no backup.
+fn has_backup(worker: &Worker, reference: &str, id: &str) -> bool {
     reference.is_empty()
-        || lock(&worker.shared.copies)
+        || lock(&worker.shared.backups)
             .iter()
-            .any(|(holder, of)| *holder == worker.addr && of == id)
+            .any(|(backup, of)| *backup == worker.addr && of == id)
 }
 
-/// Answers a call.
-async fn answer(mut running: Running, body: &Bytes, quirk: Option<Quirk>) -> Response {
+/// Answers a call to a plain service.
+async fn respond(mut running: InFlight, body: &Bytes, quirk: Option<Quirk>) -> Response {
     if quirk == Some(Quirk::Hang) {
         std::future::pending::<()>().await;
     }
@@ -289,29 +295,29 @@
         for (name, value) in response(status, &headers, "").headers() {
             cut.headers_mut().insert(name.clone(), value.clone());
         }
-        tokio::spawn(break_off(sender, Bytes::from_static(b"half of")));
+        tokio::spawn(send_truncated(sender, Bytes::from_static(b"half of")));
         return cut;
     }
-    running.is_whole = true;
+    running.is_complete = true;
     response(status, &headers, receipt(body))
 }
 
-/// The answer to a call with this body.
+/// The body of the answer to a call with this body.
 pub fn receipt(body: &[u8]) -> String {
     format!("{:x}", stable(body))
 }
 
-/// Sends a piece of a body and breaks off.
-async fn break_off(mut sender: BodySender, piece: Bytes) {
+/// Sends a part of a body and aborts the connection.
+async fn send_truncated(mut sender: BodySender, piece: Bytes) {
     if sender.send_data(piece).await.is_ok() {
-        // The piece must be on its way before the connection ends.
+        // Lets the part be flushed before the connection is aborted.
         sleep(Duration::from_millis(20)).await;
     }
     sender.abort(StreamCut);
 }
 
-/// Answers with a stream that goes on behind the event `from`.
-fn stream(running: Running, body: &Bytes, from: u64, quirk: Option<Quirk>) -> Response {
+/// Answers with an event stream that starts after the event `from`.
+fn stream(running: InFlight, body: &Bytes, from: u64, quirk: Option<Quirk>) -> Response {
     let (sender, mut response) = reply::events();
     let id = running.id.clone();
     let sealed = super::response(
@@ -326,10 +332,11 @@
     response
 }
 
+/// Sends the events after `from`, and applies the faults of streams.
 async fn events(
-    mut running: Running,
+    mut running: InFlight,
     mut sender: BodySender,
-    content: u64,
+    body_hash: u64,
     from: u64,
     quirk: Option<Quirk>,
 ) {
@@ -337,31 +344,32 @@
     let stream = worker.faults.open_stream();
     let middle = from + (worker.settings.events - from.min(worker.settings.events)) / 2;
     for number in from + 1..=worker.settings.events {
-        worker.faults.hold().await;
+        worker.faults.inject_delay().await;
         if worker.faults.is_silent(stream) {
             return std::future::pending().await;
         }
         if number == middle && quirk == Some(Quirk::SilentFirst) {
-            // Ends when the caller closes the connection, which the failing send below would show.
+            // If the caller closes the connection during the stall, the send below fails.
             sleep(Duration::from_secs(600)).await;
         }
-        let event = event(content, number);
+        let event = event(body_hash, number);
         if number == middle && quirk == Some(Quirk::BreakFirst) {
-            return break_off(sender, Bytes::from(event[..event.len() / 2].to_owned())).await;
+            return send_truncated(sender, Bytes::from(event[..event.len() / 2].to_owned())).await;
         }
         if sender.send_data(Bytes::from(event)).await.is_err() {
             return;
         }
         sleep(Duration::from_millis(worker.settings.event_ms)).await;
     }
-    running.is_whole = true;
+    running.is_complete = true;
 }
 
-/// The event of this number in the answer to a request whose body has the hash `content`.
-pub fn event(content: u64, number: u64) -> String {
-    format!("id: {number}\ndata: {content:x}-{number}\n\n")
+/// The event with this number in the answer to a request whose body has this hash.
+pub fn event(body_hash: u64, number: u64) -> String {
+    format!("id: {number}\ndata: {body_hash:x}-{number}\n\n")
 }
 
+/// Answers `/report` of an engine: its load.
 fn report(worker: &Worker) -> Response {
     let running = *lock(&worker.running);
     let body = json!({
@@ -371,22 +379,24 @@
     reply::json(StatusCode::OK, &body)
 }
 
-async fn copy(worker: &Worker, request: Request<Incoming>) -> Response {
-    let body: serde_json::Value = match reply::read_json(request, MAX_BYTES).await {
+/// Answers `/kv-move` of an engine: registers the server `to` as the backup of a request.
+async fn move_kv(worker: &Worker, request: Request<Incoming>) -> Response {
+    let body: serde_json::Value = match reply::read_json(request, MAX_BODY_BYTES).await {
         Ok(body) => body,
         Err(e) => return response(StatusCode::BAD_REQUEST, &[], e.to_string()),
     };
     let id = body["id"].as_str().unwrap_or_default().to_owned();
     match body["to"].as_str().unwrap_or_default().parse() {
-        Ok(holder) => {
-            lock(&worker.shared.copies).push((holder, id));
+        Ok(backup) => {
+            lock(&worker.shared.backups).push((backup, id));
             reply::json(StatusCode::OK, &json!({"handle": "h-1", "created": 0}))
         }
         Err(_) => response(StatusCode::SERVICE_UNAVAILABLE, &[], ""),
     }
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
+/// The value of a header; empty if it is absent or not text.
+fn header<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
     let value = headers.get(name).and_then(|v| v.to_str().ok());
     value.unwrap_or_default()
 }
