--- a/crates/engine/src/wire.rs
+++ b/crates/engine/src/wire.rs
@@ -172,24 +172,24 @@
 pub const BLOCK_BYTES: usize = 64;
 
 /// One block in this many is followed by those who choose an engine by its cache.
-const SAMPLE: u64 = 8;
+const SAMPLE_INTERVAL: u64 = 8;
 
 /// Whether a block is followed by those who choose an engine by its cache.
 ///
 /// A block's hash covers all blocks before it, so that a part of them tells enough.
 pub fn is_sampled(block: u64) -> bool {
-    block.is_multiple_of(SAMPLE)
+    block.is_multiple_of(SAMPLE_INTERVAL)
 }
 
 /// The chained hashes of the whole blocks of `prompt`, as cache events name them.
 pub fn prompt_blocks(prompt: &str) -> Vec<u64> {
-    let mut chain = 0;
+    let mut hash = 0;
     prompt
         .as_bytes()
         .chunks_exact(BLOCK_BYTES)
         .map(|block| {
-            chain = base::hash::stable(block) ^ u64::rotate_left(chain, 7);
-            chain
+            hash = base::hash::stable(block) ^ u64::rotate_left(hash, 7);
+            hash
         })
         .collect()
 }
--- a/crates/gooseberry-agent/src/commit.rs
+++ b/crates/gooseberry-agent/src/commit.rs
@@ -72,7 +72,7 @@
     adopt(agent, News::Changes(vec![revision]));
     let agent = agent.clone();
     tokio::spawn(async move {
-        if let Err(e) = agent.platform.keep_snapshot(&document).await {
+        if let Err(e) = agent.platform.write_snapshot(&document).await {
             let host = &agent.settings.host;
             log::warn!("snapshot not kept host={host} cause=\"{e}\"");
         }
--- a/crates/gooseberry-agent/src/spread.rs
+++ b/crates/gooseberry-agent/src/spread.rs
@@ -187,7 +187,7 @@
         if held >= head.version {
             break;
         }
-        let news = agent.platform.news(held, head.version).await;
+        let news = agent.platform.read_update(held, head.version).await;
         adopt(agent, news.map_err(text)?);
         if agent.version() == held {
             return Err(format!("the revision after version {held} is missing"));
--- a/crates/gooseberry-gateway/src/main.rs
+++ b/crates/gooseberry-gateway/src/main.rs
@@ -5,7 +5,7 @@
 
 use bpaf::Bpaf;
 use settings::gateway::Gateway as Settings;
-use telemetry::{daemon, lines};
+use telemetry::{daemon, stdout_log};
 
 /// The name of the program in its messages.
 const PROGRAM: &str = "gooseberry-gateway";
@@ -24,11 +24,12 @@
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> ExitCode {
     let options = options().run();
-    let settings: Settings = match daemon::read(PROGRAM, &options.settings, options.check) {
+    let settings: Settings = match daemon::read_settings(PROGRAM, &options.settings, options.check)
+    {
         Ok(settings) => settings,
         Err(code) => return code,
     };
-    let lines = lines::start(settings.log_level);
+    let lines = stdout_log::start(settings.log_level);
     let result = gooseberry_gateway::run::run(settings, &options.settings, &lines).await;
-    daemon::ended(PROGRAM, result)
+    daemon::exit_code(PROGRAM, result)
 }
--- a/crates/gooseberry-gateway/src/run.rs
+++ b/crates/gooseberry-gateway/src/run.rs
@@ -14,7 +14,7 @@
 use platform::store::Table;
 use relay::Budget;
 use settings::gateway::{Gateway as Settings, Listen};
-use telemetry::lines::Lines;
+use telemetry::stdout_log::StdoutLog;
 use thiserror::Error;
 use timer::Timer;
 use tokio::net::{TcpListener, UdpSocket};
@@ -76,7 +76,7 @@
 /// # Errors
 ///
 /// [`RunError`] if it cannot start.
-pub async fn run(settings: Settings, file: &Path, lines: &Lines) -> Result<(), RunError> {
+pub async fn run(settings: Settings, file: &Path, lines: &StdoutLog) -> Result<(), RunError> {
     let mut term = signal(SignalKind::terminate())?;
     let hangup = signal(SignalKind::hangup())?;
     let counter = lines.counter();
--- a/crates/gooseberry-router/src/claims.rs
+++ b/crates/gooseberry-router/src/claims.rs
@@ -12,7 +12,7 @@
 use calls::submission::Expected;
 use serde_json::{Value, json};
 use store::client::Platform;
-use store::wire::{Expect, Found, Op, Outcome, Row, Transact, Write as Effect};
+use store::wire::{Expect, Mismatch, Op, Outcome, Row, Transact, Write as Effect};
 use tokio::sync::{mpsc, oneshot};
 use web::client::CallError;
 
@@ -192,7 +192,7 @@
 }
 
 /// A row that did not meet its condition; `None` if it is not of this system's shape.
-fn unmet(found: Found) -> Option<(usize, Option<VersionedRecord>)> {
+fn unmet(found: Mismatch) -> Option<(usize, Option<VersionedRecord>)> {
     match found.row {
         None => Some((found.index, None)),
         Some(row) => Some((found.index, Some(held(row)?))),
--- a/crates/gooseberry-router/src/main.rs
+++ b/crates/gooseberry-router/src/main.rs
@@ -32,5 +32,5 @@
         Err(code) => return code,
     };
     let stop = telemetry::signals::stop_on_signal();
-    daemon::ended(PROGRAM, gooseberry_router::run::run(settings, stop).await)
+    daemon::exit_code(PROGRAM, gooseberry_router::run::run(settings, stop).await)
 }
--- a/crates/gooseberry-router/src/services/outcome.rs
+++ b/crates/gooseberry-router/src/services/outcome.rs
@@ -93,7 +93,7 @@
 
 /// The answer of a backend server as a response.
 pub fn whole(answer: Reply) -> Response {
-    let mut response = Response::new(reply::whole(answer.body));
+    let mut response = Response::new(reply::full(answer.body));
     *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let content = answer.content.and_then(|c| HeaderValue::from_str(&c).ok());
     if let Some(content) = content {
--- a/crates/gooseberry-standin/src/platform/table.rs
+++ b/crates/gooseberry-standin/src/platform/table.rs
@@ -2,7 +2,7 @@
 
 use base::sorted::Sorted;
 use serde_json::Value;
-use store::wire::{Expect, Found, Op, Outcome, Row, Scan, Write};
+use store::wire::{Expect, Mismatch, Op, Outcome, Row, Scan, Write};
 
 /// A value and the number of the write that made it.
 #[derive(Clone, Debug)]
@@ -21,11 +21,11 @@
 impl Table {
     /// Carries out all operations, or none if a condition does not hold.
     pub(super) fn transact(&mut self, ops: &[Op]) -> Outcome {
-        let unmet: Vec<Found> = ops
+        let unmet: Vec<Mismatch> = ops
             .iter()
             .enumerate()
             .filter(|(_, op)| !self.holds(op))
-            .map(|(index, op)| Found {
+            .map(|(index, op)| Mismatch {
                 index,
                 row: self.read(&op.key),
             })
--- a/crates/gooseberry-standin/src/site.rs
+++ b/crates/gooseberry-standin/src/site.rs
@@ -19,7 +19,7 @@
     headers: &[(&'static str, &str)],
     body: impl Into<Bytes>,
 ) -> Response {
-    let mut response = Response::new(reply::whole(body));
+    let mut response = Response::new(reply::full(body));
     *response.status_mut() = status;
     for (name, value) in headers {
         if let Ok(value) = HeaderValue::from_str(value) {
--- a/crates/service/src/client.rs
+++ b/crates/service/src/client.rs
@@ -49,14 +49,14 @@
 pub struct Connection {
     addr: SocketAddr,
     sender: SendRequest<Full<Bytes>>,
-    task: Driver,
+    task: ConnectionTask,
 }
 
 /// The task that drives a connection; it ends with its value.
 #[derive(Debug)]
-struct Driver(JoinHandle<()>);
+struct ConnectionTask(JoinHandle<()>);
 
-impl Drop for Driver {
+impl Drop for ConnectionTask {
     fn drop(&mut self) {
         self.0.abort();
     }
@@ -80,7 +80,7 @@
         };
         let opened = timeout(limit, connecting).await;
         let (sender, connection) = opened.map_err(|e| failed(e.to_string()))?.map_err(failed)?;
-        let task = Driver(tokio::spawn(async move {
+        let task = ConnectionTask(tokio::spawn(async move {
             // How the connection ended is seen by the call that it carried.
             let _ = connection.await;
         }));
--- a/crates/store/src/config.rs
+++ b/crates/store/src/config.rs
@@ -25,13 +25,13 @@
 const SNAPSHOT: &str = "config/snapshot";
 
 /// The versions between two snapshots.
-const SNAPSHOT_EVERY: u64 = 64;
+const SNAPSHOT_INTERVAL: u64 = 64;
 
 /// The revisions that are kept behind a snapshot.
-const KEPT: u64 = 8_192;
+const KEPT_REVISIONS: u64 = 8_192;
 
 /// The most revisions in one read.
-const BATCH: u64 = 256;
+const MAX_BATCH: u64 = 256;
 
 /// The accepted version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -53,7 +53,7 @@
 
 /// The value of the snapshot row.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct Pointer {
+struct SnapshotPointer {
     version: Version,
 }
 
@@ -89,14 +89,14 @@
     /// # Errors
     ///
     /// Any [`CallError`].
-    pub async fn news(&self, after: Version, head: Version) -> Result<News, CallError> {
-        if head.0 > after.0 + BATCH
+    pub async fn read_update(&self, after: Version, head: Version) -> Result<News, CallError> {
+        if head.0 > after.0 + MAX_BATCH
             && let Some(document) = self.snapshot().await?
             && document.version > after
         {
             return Ok(News::Whole(document));
         }
-        let last = head.0.min(after.0 + BATCH);
+        let last = head.0.min(after.0 + MAX_BATCH);
         self.revisions(after.0 + 1, last).await.map(News::Changes)
     }
 
@@ -106,7 +106,7 @@
     ///
     /// Any [`CallError`].
     pub async fn revisions(&self, first: u64, last: u64) -> Result<Vec<Revision>, CallError> {
-        let first = first.max((last + 1).saturating_sub(BATCH));
+        let first = first.max((last + 1).saturating_sub(MAX_BATCH));
         if first > last {
             return Ok(Vec::new());
         }
@@ -130,17 +130,17 @@
     /// # Errors
     ///
     /// Any [`CallError`]; the snapshot before remains in use then.
-    pub async fn keep_snapshot(&self, document: &Document) -> Result<(), CallError> {
+    pub async fn write_snapshot(&self, document: &Document) -> Result<(), CallError> {
         let version = document.version;
-        if !version.0.is_multiple_of(SNAPSHOT_EVERY) {
+        if !version.0.is_multiple_of(SNAPSHOT_INTERVAL) {
             return Ok(());
         }
         let value = serde_json::to_value(document).unwrap_or_default();
         self.put_object(&snapshot_name(version), &value).await?;
-        let pointer = serde_json::to_value(Pointer { version }).unwrap_or_default();
+        let pointer = serde_json::to_value(SnapshotPointer { version }).unwrap_or_default();
         let mut ops = vec![put(SNAPSHOT, Expect::Any, pointer)];
-        let end = version.0.saturating_sub(KEPT);
-        for old in end.saturating_sub(SNAPSHOT_EVERY)..end {
+        let end = version.0.saturating_sub(KEPT_REVISIONS);
+        for old in end.saturating_sub(SNAPSHOT_INTERVAL)..end {
             ops.push(Op {
                 key: change_key(old),
                 expect: Expect::Any,
@@ -156,7 +156,7 @@
         let Some(row) = self.row(SNAPSHOT).await? else {
             return Ok(None);
         };
-        let pointer: Pointer = self.decode(row.value)?;
+        let pointer: SnapshotPointer = self.decode(row.value)?;
         let value = self.object(&snapshot_name(pointer.version)).await?;
         value.map(|v| self.decode(v)).transpose()
     }
--- a/crates/store/src/wire.rs
+++ b/crates/store/src/wire.rs
@@ -66,12 +66,12 @@
     /// It took effect; the versions of the rows after it, in order of the operations.
     Committed(Vec<u64>),
     /// It had no effect; the rows whose condition did not hold, as they are.
-    Conflict(Vec<Found>),
+    Conflict(Vec<Mismatch>),
 }
 
 /// A row that did not meet its condition.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Found {
+pub struct Mismatch {
     /// The index of the operation.
     pub index: usize,
     /// The row, if there is one.
--- a/crates/telemetry/src/daemon.rs
+++ b/crates/telemetry/src/daemon.rs
@@ -19,8 +19,8 @@
     is_check: bool,
     log: impl FnOnce(&T) -> &Log,
 ) -> Result<T, ExitCode> {
-    let settings: T = read(program, file, is_check)?;
-    crate::logs::start(log(&settings));
+    let settings: T = read_settings(program, file, is_check)?;
+    crate::stderr_log::start(log(&settings));
     Ok(settings)
 }
 
@@ -29,12 +29,12 @@
 /// # Errors
 ///
 /// The exit code if the process is to end here: the settings are wrong, or were only to be checked.
-pub fn read<T: DeserializeOwned + Checked>(
+pub fn read_settings<T: DeserializeOwned + Checked>(
     program: &str,
     file: &Path,
     is_check: bool,
 ) -> Result<T, ExitCode> {
-    let settings: T = settings::load(file).map_err(|e| failed(program, &e))?;
+    let settings: T = settings::load(file).map_err(|e| print_failure(program, &e))?;
     if is_check {
         println!("{}: correct", file.display());
         return Err(ExitCode::SUCCESS);
@@ -43,14 +43,14 @@
 }
 
 /// The exit code of a daemon that has ended with `result`; an error is printed.
-pub fn ended<E: Display>(program: &str, result: Result<(), E>) -> ExitCode {
+pub fn exit_code<E: Display>(program: &str, result: Result<(), E>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => failed(program, &e),
+        Err(e) => print_failure(program, &e),
     }
 }
 
-fn failed<E: Display>(program: &str, error: &E) -> ExitCode {
+fn print_failure<E: Display>(program: &str, error: &E) -> ExitCode {
     eprintln!("{program}: {error}");
     ExitCode::FAILURE
 }
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -2,7 +2,7 @@
 
 pub mod admin;
 pub mod daemon;
-pub mod lines;
-pub mod logs;
 pub mod metrics;
 pub mod signals;
+pub mod stderr_log;
+pub mod stdout_log;
--- a/crates/telemetry/src/lines.rs
+++ b/crates/telemetry/src/stdout_log.rs
@@ -9,15 +9,15 @@
 use tracing_subscriber::fmt::time::SystemTime;
 
 /// The lines that wait for the sink at most; at 300 bytes a line this is 1.2 MB.
-const WAITING_LINES: usize = 4_096;
+const MAX_QUEUED_LINES: usize = 4_096;
 
 /// The log of a process; lines that wait are written when it is dropped.
-pub struct Lines {
+pub struct StdoutLog {
     dropped: ErrorCounter,
     _guard: WorkerGuard,
 }
 
-impl Lines {
+impl StdoutLog {
     /// Counts the lines dropped because the sink lagged.
     pub fn counter(&self) -> ErrorCounter {
         self.dropped.clone()
@@ -25,10 +25,10 @@
 }
 
 /// Sets the process's log; a second call has no effect.
-pub fn start(level: Level) -> Lines {
+pub fn start(level: Level) -> StdoutLog {
     let (sink, guard) = NonBlockingBuilder::default()
         .lossy(true)
-        .buffered_lines_limit(WAITING_LINES)
+        .buffered_lines_limit(MAX_QUEUED_LINES)
         .finish(std::io::stdout());
     let dropped = sink.error_counter();
     let subscriber = tracing_subscriber::fmt()
@@ -40,7 +40,7 @@
         .finish();
     // Only a second call fails, which then keeps the first log.
     let _ = tracing::subscriber::set_global_default(subscriber);
-    Lines {
+    StdoutLog {
         dropped,
         _guard: guard,
     }
--- a/crates/web/src/client.rs
+++ b/crates/web/src/client.rs
@@ -94,11 +94,13 @@
         .map_err(|e| unreachable(e.to_string()))?;
     // Without this, small frames wait for the peer's delayed acknowledgement.
     let _ = stream.set_nodelay(true);
-    let (mut sender, connection) =
-        timeout_at(deadline, http1::handshake(TokioIo::new(counted(stream))))
-            .await
-            .map_err(|e| unreachable(e.to_string()))?
-            .map_err(|e| unreachable(e.to_string()))?;
+    let (mut sender, connection) = timeout_at(
+        deadline,
+        http1::handshake(TokioIo::new(count_bytes(stream))),
+    )
+    .await
+    .map_err(|e| unreachable(e.to_string()))?
+    .map_err(|e| unreachable(e.to_string()))?;
     tokio::spawn(connection);
     timeout_at(deadline, sender.send_request(request))
         .await
@@ -110,9 +112,9 @@
 }
 
 /// A connection whose bytes are counted.
-type Counted = InspectReader<InspectWriter<TcpStream, fn(&[u8])>, fn(&[u8])>;
+type CountedStream = InspectReader<InspectWriter<TcpStream, fn(&[u8])>, fn(&[u8])>;
 
-fn counted(stream: TcpStream) -> Counted {
+fn count_bytes(stream: TcpStream) -> CountedStream {
     let written: InspectWriter<_, fn(&[u8])> = InspectWriter::new(stream, traffic::sent);
     InspectReader::new(written, traffic::received)
 }
--- a/crates/web/src/reply.rs
+++ b/crates/web/src/reply.rs
@@ -12,7 +12,7 @@
 use crate::{Body, BodySender, Response};
 
 /// How many written pieces a streamed body holds before its writer waits.
-const STREAM_PIECES: usize = 16;
+const MAX_QUEUED_CHUNKS: usize = 16;
 
 /// Why a request body cannot be used.
 #[derive(Debug, Error)]
@@ -37,7 +37,7 @@
 /// A response with `value` as JSON.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Response {
     let bytes = serde_json::to_vec(value).unwrap_or_default();
-    let mut response = hyper::Response::new(whole(bytes));
+    let mut response = hyper::Response::new(full(bytes));
     *response.status_mut() = status;
     let kind = hyper::header::HeaderValue::from_static("application/json");
     response
@@ -48,7 +48,7 @@
 
 /// A response of server-sent events, and the end through which they are written.
 pub fn events() -> (BodySender, Response) {
-    let (sender, body) = Channel::new(STREAM_PIECES);
+    let (sender, body) = Channel::new(MAX_QUEUED_CHUNKS);
     let mut response = hyper::Response::new(Either::Right(body));
     let kind = hyper::header::HeaderValue::from_static("text/event-stream");
     response
@@ -58,7 +58,7 @@
 }
 
 /// A body that is sent whole.
-pub fn whole(bytes: impl Into<Bytes>) -> Body {
+pub fn full(bytes: impl Into<Bytes>) -> Body {
     Either::Left(Full::new(bytes.into()))
 }
 
