--- a/crates/engine/src/client.rs
+++ b/crates/engine/src/client.rs
@@ -1,4 +1,4 @@
-//! A client of the engine interface.
+//! HTTP client of the engine interface.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,39 +18,39 @@
     CacheEvents, Frame, Generate, Load, Order, OrderState, Refusal, RefusalKind, StreamName,
 };
 
-/// Why an engine gave no usable answer.
+/// Error of a call to an engine.
 #[derive(Debug, Error)]
 pub enum EngineError {
-    /// The engine refused.
-    #[error("the engine refused ({kind:?}): {message}")]
+    /// The engine refused the request.
+    #[error("the engine refused the request ({kind:?}): {message}")]
     Refused {
-        /// The kind of refusal.
+        /// Kind of refusal, on which a retry elsewhere depends.
         kind: RefusalKind,
-        /// What the engine says of it.
+        /// Explanation given by the engine.
         message: String,
     },
-    /// The call failed.
+    /// The HTTP call failed, or its answer could not be decoded.
     #[error(transparent)]
     Call(#[from] CallError),
-    /// The stream broke or ended without its last frame.
-    #[error("the engine's stream broke: {cause}; resume it from the next offset")]
+    /// The connection of the stream failed, or a frame could not be decoded.
+    #[error("engine stream failed: {cause}; resume it from the next offset")]
     Stream {
-        /// The cause.
+        /// Cause given by the HTTP or JSON library.
         cause: String,
     },
 }
 
-/// The frames of one engine stream.
+/// Frames of one engine stream, read from one connection.
 pub struct Frames {
     inner: SseStream<Incoming>,
 }
 
 impl Frames {
-    /// The next frame, or `None` when the stream has ended.
+    /// Reads the next frame; `None` when the body has ended, even without an `End` frame.
     ///
     /// # Errors
     ///
-    /// `Stream` if the connection breaks or a frame has another shape.
+    /// `Stream` if the connection fails or a frame cannot be decoded.
     pub async fn next(&mut self) -> Result<Option<Frame>, EngineError> {
         let broken = |cause: String| EngineError::Stream { cause };
         loop {
@@ -65,7 +65,7 @@
     }
 }
 
-/// Starts a stream.
+/// Starts a stream; `limit` covers the time up to the head of the answer.
 ///
 /// # Errors
 ///
@@ -79,11 +79,11 @@
     open(addr, request, limit).await
 }
 
-/// Reads a live stream from `offset` over a new connection.
+/// Reads an existing stream from `offset` over a new connection.
 ///
 /// # Errors
 ///
-/// Any [`EngineError`]; `NoStream` if the engine doesn't know the stream.
+/// Any [`EngineError`]; `NoStream` if the engine has no such stream.
 pub async fn resume(
     addr: SocketAddr,
     stream: &StreamName,
@@ -95,11 +95,11 @@
     open(addr, request, limit).await
 }
 
-/// Ends a stream and frees its place.
+/// Cancels a stream and frees its slot.
 ///
 /// # Errors
 ///
-/// Any [`EngineError`]; `NoStream` if the engine doesn't know the stream.
+/// Any [`EngineError`]; `NoStream` if the engine has no such stream.
 pub async fn cancel(
     addr: SocketAddr,
     stream: &StreamName,
@@ -119,7 +119,7 @@
     call(addr, Method::GET, "/v1/load", &(), limit).await
 }
 
-/// Reads the cache events after number `after`.
+/// Reads the cache events with sequence numbers above `after`.
 ///
 /// # Errors
 ///
@@ -133,11 +133,11 @@
     call(addr, Method::GET, &path, &(), limit).await
 }
 
-/// Gives an order.
+/// Sets the desired state of an engine: its models and its role.
 ///
 /// # Errors
 ///
-/// Any [`EngineError`]; `Fenced` if a higher fencing number was seen.
+/// Any [`EngineError`]; `Fenced` if the engine has received a higher fencing number.
 pub async fn order(
     addr: SocketAddr,
     order: &Order,
@@ -146,7 +146,7 @@
     call(addr, Method::POST, "/v1/orders", order, limit).await
 }
 
-/// Reads what orders have led to.
+/// Reads the models, role and highest fencing number of an engine.
 ///
 /// # Errors
 ///
@@ -170,7 +170,7 @@
     })
 }
 
-/// Reads the refusal out of an answer other than success.
+/// Reads the body of an unsuccessful response as a refusal.
 async fn refused(addr: SocketAddr, response: Response<Incoming>, limit: Duration) -> EngineError {
     let Ok(Ok(body)) = timeout(limit, response.into_body().collect()).await else {
         return EngineError::Call(CallError::Timeout { addr });
@@ -178,7 +178,7 @@
     refusal(addr, &body.to_bytes())
 }
 
-/// Reads a refusal from a body.
+/// Decodes a refusal; a body of another shape becomes a decoding error.
 fn refusal(addr: SocketAddr, body: &[u8]) -> EngineError {
     match serde_json::from_slice::<Refusal>(body) {
         Ok(r) => EngineError::Refused {
@@ -192,7 +192,7 @@
     }
 }
 
-/// Sends JSON and reads JSON, or the refusal.
+/// Sends `body` as JSON and decodes the answer or the refusal.
 async fn call<Q: Serialize, A: serde::de::DeserializeOwned>(
     addr: SocketAddr,
     method: Method,
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,4 +1,4 @@
-//! The adapter to model engines: wire types and a client.
+//! Adapter to model engines: wire types and an HTTP client.
 //!
 //! This is the only crate that knows an engine's paths and JSON shapes.
 
--- a/crates/engine/src/wire.rs
+++ b/crates/engine/src/wire.rs
@@ -1,187 +1,188 @@
-//! JSON shapes of the engine interface.
+//! JSON types of the engine interface.
 
 pub use base::model::{Model, Role};
 use base::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// The body of `POST /v1/generate`; the answer is a stream of server-sent [`Frame`]s.
+/// Body of `POST /v1/generate`; the response is a stream of [`Frame`]s as server-sent events.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Generate {
-    /// The name of the stream, chosen by the caller of the engine and unique.
+    /// Unique name of the stream, chosen by the client of the engine.
     pub stream: StreamName,
-    /// The model wanted.
+    /// Model that is to generate the output.
     pub model: Model,
-    /// The prompt.
+    /// Prompt text.
     pub prompt: String,
-    /// Tokens already generated, which the output continues.
+    /// Ids of the tokens generated so far, which the output continues.
     pub prefix: Vec<u32>,
-    /// The most tokens in the whole output, the prefix included.
+    /// Maximum length of the output in tokens, including `prefix`.
     pub max_tokens: u64,
-    /// Higher runs first.
+    /// Streams with a higher value leave the engine's queue first.
     pub priority: u32,
-    /// The milliseconds within which the first token is of use; later the engine may refuse.
+    /// Milliseconds until the first token is due, after which the engine may refuse the request.
     pub deadline_ms: Option<u64>,
 }
 
-/// The name of an engine stream: `<generation>-<owner>-<attempt>`.
+/// Name of an engine stream: `<generation>-<owner>-<attempt>`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct StreamName(pub String);
 
 impl StreamName {
-    /// The name of the stream of one attempt.
+    /// Name of the stream of one attempt; `owner` is written in hexadecimal.
     pub fn new(generation: GenerationId, owner: Incarnation, attempt: Attempt) -> Self {
         Self(format!("{generation}-{:x}-{attempt}", owner.0))
     }
 }
 
-/// One event of an engine stream.
+/// Event of an engine stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "type", rename_all = "snake_case")]
 pub enum Frame {
-    /// The stream exists; its next token has this offset.
+    /// First event of each connection.
     Start {
-        /// The offset of the first token that follows.
+        /// Offset of the first token that follows.
         offset: Offset,
-        /// The life of the engine that runs the stream.
+        /// Incarnation of the engine that runs the stream.
         incarnation: Incarnation,
-        /// How many tokens of prompt and prefix were found in the cache.
+        /// Tokens of the prompt and the prefix that were found in the cache.
         cached: u64,
-        /// How many tokens of prompt and prefix were computed anew.
+        /// Tokens of the prompt and the prefix that had to be computed.
         prefill: u64,
     },
-    /// One token.
+    /// One token of the output.
     Token {
-        /// The position of the token.
+        /// Position of the token in the output, counted from 0.
         offset: Offset,
-        /// The token.
+        /// Id and text of the token.
         token: Token,
     },
-    /// The output is whole.
+    /// The output is complete.
     End {
-        /// The number of tokens in the whole output.
+        /// Number of tokens in the complete output.
         length: u64,
-        /// Why it ended.
+        /// Reason for which the output ended.
         finish: Finish,
     },
 }
 
-/// Why an output is whole.
+/// Reason for which an output ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Finish {
-    /// The model ended it.
+    /// The model ended the output.
     Stop,
-    /// It reached the most tokens asked for.
+    /// The output reached `max_tokens`.
     Length,
 }
 
-/// The kind of an engine's refusal.
+/// Kind of an engine's refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalKind {
-    /// The engine has no room; another may.
+    /// The engine has no free slot; another engine may have one.
     Busy,
-    /// The engine is leaving or loading; another may serve.
+    /// The engine is draining or loading a model; another engine may accept the request.
     NotReady,
-    /// The engine doesn't have the model, version or adapter.
+    /// The engine has not loaded the model, its version or its adapter.
     NoModel,
-    /// The engine doesn't know the stream.
+    /// The engine has no stream of this name.
     NoStream,
-    /// The order carries a fencing number lower than one seen before.
+    /// The engine has already received an order with a higher fencing number.
     Fenced,
     /// The request is malformed.
     Invalid,
 }
 
-/// The body of an answer other than success.
+/// Body of an unsuccessful response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// The kind.
+    /// Kind of refusal.
     pub kind: RefusalKind,
-    /// What happened and what to do.
+    /// Description of the failure and its remedy.
     pub message: String,
 }
 
-/// The answer to `GET /v1/load`; what it tells may be some time old.
+/// Response to `GET /v1/load`: the load of the engine `age_ms` ago.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// The life of the engine.
+    /// Incarnation of the engine.
     pub incarnation: Incarnation,
-    /// The streams being generated.
+    /// Number of streams that generate tokens.
     pub running: u64,
-    /// The streams waiting to start.
+    /// Number of streams that wait for a slot.
     pub queued: u64,
-    /// The most streams generated at once.
+    /// Maximum number of streams that generate tokens at the same time.
     pub slots: u64,
-    /// Whether the engine takes no new work.
+    /// Whether the engine drains and refuses new streams.
     pub leaving: bool,
-    /// The models in memory.
+    /// Models in memory.
     pub models: Vec<Model>,
-    /// The age of the report in milliseconds.
+    /// Age of the report in milliseconds.
     pub age_ms: u64,
 }
 
-/// The answer to `GET /v1/cache/events?after=N`.
+/// Response to `GET /v1/cache/events?after=N`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvents {
-    /// The life of the engine.
+    /// Incarnation of the engine.
     pub incarnation: Incarnation,
-    /// The events, in order of their numbers; numbers may be missing.
+    /// Events in ascending order of `seq`; some may be missing.
     pub events: Vec<CacheEvent>,
 }
 
-/// One change of an engine's prefix cache.
+/// Change of an engine's prefix cache.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// The number of the event, counted from 1.
+    /// Sequence number, counted from 1.
     pub seq: u64,
-    /// The hash of a block of prompt and of all blocks before it.
+    /// Hash of a block of the prompt and all blocks before it, see [`prompt_blocks`].
     pub block: u64,
-    /// Whether the block was stored, otherwise evicted.
+    /// Whether the block was stored; otherwise it was evicted.
     pub stored: bool,
 }
 
-/// The body of `POST /v1/orders`: the whole wanted state.
+/// Body of `POST /v1/orders`: the complete desired state of an engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// The fencing number of the lease under which the order is given.
+    /// Fencing number of the lease under which the order is sent.
     pub fence: u64,
-    /// The models to hold; others are unloaded.
+    /// Models to keep in memory; the engine unloads all others.
     pub models: Vec<Model>,
-    /// The role.
+    /// Phases of generation that the engine is to run.
     pub role: Role,
 }
 
-/// The answer to `GET /v1/orders`, and to an order that was taken.
+/// Response to `GET /v1/orders` and to an accepted order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderState {
-    /// The life of the engine.
+    /// Incarnation of the engine.
     pub incarnation: Incarnation,
-    /// The highest fencing number seen.
+    /// Highest fencing number received.
     pub fence: u64,
-    /// The models in memory.
+    /// Models in memory.
     pub models: Vec<Model>,
-    /// The models being loaded.
+    /// Models being loaded.
     pub loading: Vec<Model>,
-    /// The role.
+    /// Phases of generation that the engine runs.
     pub role: Role,
 }
 
-/// The number of prompt bytes in one block of the prefix cache.
+/// Prompt bytes in one block of the prefix cache.
 pub const BLOCK_BYTES: usize = 64;
 
-/// One block in this many is followed by those who choose an engine by its cache.
+/// One of this many blocks is tracked to choose an engine by its cached prefixes.
 const SAMPLE_INTERVAL: u64 = 8;
 
-/// Whether a block is followed by those who choose an engine by its cache.
+/// Whether a block is tracked to choose an engine by its cached prefixes.
 ///
-/// A block's hash covers all blocks before it, so that a part of them tells enough.
+/// The hash of a block covers all blocks before it, so a sample is enough to estimate the length of
+/// a cached prefix.
 pub fn is_sampled(block: u64) -> bool {
     block.is_multiple_of(SAMPLE_INTERVAL)
 }
 
-/// The chained hashes of the whole blocks of `prompt`, as cache events name them.
+/// Hashes of the full blocks of `prompt`, each chained to the one before, as in [`CacheEvent`]s.
 pub fn prompt_blocks(prompt: &str) -> Vec<u64> {
     let mut hash = 0;
     prompt
--- a/crates/service/src/client.rs
+++ b/crates/service/src/client.rs
@@ -1,4 +1,4 @@
-//! A connection to a backend server and the one call that it carries.
+//! Connection to a backend server, used for a single call.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,36 +15,36 @@
 use tokio::time::timeout;
 use web::client::CallError;
 
-/// The largest body of an answer, in bytes.
+/// Maximum size of a response body; a larger one fails the call.
 const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 
-/// A call as it is sent.
+/// HTTP request as it is forwarded to a backend server.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// The method.
+    /// HTTP method.
     pub method: Method,
-    /// The path and query, counted from behind the service's name.
+    /// Path and query, without the leading part that names the service.
     pub uri: Uri,
-    /// The headers that are passed on.
+    /// Headers that are forwarded; `Host` is set to the address of the server.
     pub headers: HeaderMap,
-    /// The body.
+    /// Complete request body.
     pub body: Bytes,
 }
 
-/// The whole answer to a call.
+/// Complete response to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
-    /// The HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// The content type, if it has one.
+    /// Value of `Content-Type`; `None` if it is absent or not ASCII text.
     pub content: Option<String>,
-    /// The body.
+    /// Complete response body.
     pub body: Bytes,
 }
 
-/// An open connection on which nothing was sent yet.
+/// Open connection on which no request has been sent yet.
 ///
-/// Dropping it closes it, also while a call is under way.
+/// Dropping it, or the future of [`Connection::call`], closes the connection.
 #[derive(Debug)]
 pub struct Connection {
     addr: SocketAddr,
@@ -52,7 +52,7 @@
     task: ConnectionTask,
 }
 
-/// The task that drives a connection; it ends with its value.
+/// Task that drives the I/O of a connection; dropping it aborts the task.
 #[derive(Debug)]
 struct ConnectionTask(JoinHandle<()>);
 
@@ -63,16 +63,16 @@
 }
 
 impl Connection {
-    /// Opens a connection.
+    /// Opens a connection within `limit`.
     ///
     /// # Errors
     ///
-    /// `Connect`: nothing was sent.
+    /// `Connect`; no request was sent.
     pub async fn open(addr: SocketAddr, limit: Duration) -> Result<Self, CallError> {
         let failed = |cause: String| CallError::Connect { addr, cause };
         let connecting = async {
             let stream = TcpStream::connect(addr).await.map_err(|e| e.to_string())?;
-            // Without this, small requests wait for the peer's delayed acknowledgement.
+            // Nagle's algorithm would hold small requests until the peer's delayed acknowledgement.
             let _ = stream.set_nodelay(true);
             http1::handshake(TokioIo::new(stream))
                 .await
@@ -81,17 +81,17 @@
         let opened = timeout(limit, connecting).await;
         let (sender, connection) = opened.map_err(|e| failed(e.to_string()))?.map_err(failed)?;
         let task = ConnectionTask(tokio::spawn(async move {
-            // How the connection ended is seen by the call that it carried.
+            // The call on this connection reports its failure.
             let _ = connection.await;
         }));
         Ok(Self { addr, sender, task })
     }
 
-    /// Sends the call and reads its whole answer, whatever its status.
+    /// Sends the call and reads the complete response, whatever its status, within `limit`.
     ///
     /// # Errors
     ///
-    /// `Broken` or `Timeout`: the call may have run.
+    /// `Broken` or `Timeout`; the server may have run the call.
     pub async fn call(self, call: Call, limit: Duration) -> Result<Reply, CallError> {
         let Self {
             addr,
@@ -111,7 +111,7 @@
     }
 }
 
-/// The request of a call.
+/// Builds the HTTP request of a call.
 fn request(addr: SocketAddr, call: Call) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(call.body));
     *request.method_mut() = call.method;
@@ -123,7 +123,7 @@
     request
 }
 
-/// Reads a whole answer.
+/// Reads a complete response.
 async fn read(response: Response<Incoming>) -> Result<Reply, String> {
     let (parts, body) = response.into_parts();
     let content = parts.headers.get(CONTENT_TYPE);
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -1,4 +1,4 @@
-//! A client of the platform.
+//! HTTP client of the platform.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,27 +9,27 @@
 
 use crate::wire::{Host, HostList, Outcome, Read, Row, Scan, Transact};
 
-/// Where the platform is and how long to wait for it.
+/// Address of the platform and time limit of its calls.
 #[derive(Clone, Copy, Debug)]
 pub struct Platform {
-    /// The address of the platform.
+    /// Address of the platform's HTTP interface.
     pub addr: SocketAddr,
-    /// The time limit of one call.
+    /// Time limit of one call, connection included.
     pub limit: Duration,
 }
 
 impl Platform {
-    /// Runs a transaction.
+    /// Runs a transaction on the table.
     ///
     /// # Errors
     ///
     /// Any [`CallError`]; unless [`CallError::is_unsent`] holds, the transaction may have taken
-    /// effect.
+    /// effect or may still do so.
     pub async fn transact(&self, body: &Transact) -> Result<Outcome, CallError> {
         self.post("/v1/table/transact", body).await
     }
 
-    /// Reads rows by key.
+    /// Reads one row per key, in order of `keys`; `None` for a key without a row.
     ///
     /// # Errors
     ///
@@ -38,7 +38,7 @@
         self.post("/v1/table/read", &Read { keys }).await
     }
 
-    /// Reads rows by prefix of their keys.
+    /// Reads rows whose keys share a prefix, in order of key.
     ///
     /// # Errors
     ///
@@ -47,17 +47,18 @@
         self.post("/v1/table/scan", body).await
     }
 
-    /// Stores an object.
+    /// Writes an object, replacing one of the same name.
     ///
     /// # Errors
     ///
-    /// Any [`CallError`]; unless [`CallError::is_unsent`] holds, it may have been stored.
+    /// Any [`CallError`]; unless [`CallError::is_unsent`] holds, the object may have been
+    /// written.
     pub async fn put_object(&self, name: &str, value: &Value) -> Result<(), CallError> {
         let path = format!("/v1/objects/{name}");
         call(self.addr, Method::PUT, &path, value, self.limit).await
     }
 
-    /// Reads an object; `None` if there is none of that name.
+    /// Reads an object; `None` if there is none of this name.
     ///
     /// # Errors
     ///
@@ -66,7 +67,7 @@
         get(self.addr, &format!("/v1/objects/{name}"), self.limit).await
     }
 
-    /// Takes an object away.
+    /// Deletes an object.
     ///
     /// # Errors
     ///
@@ -85,7 +86,7 @@
         get(self.addr, "/v1/hosts", self.limit).await
     }
 
-    /// Reads the host list if it is no longer at `revision`.
+    /// Reads the host list; `None` if it is still at `revision`.
     ///
     /// # Errors
     ///
@@ -95,7 +96,7 @@
         get(self.addr, &path, self.limit).await
     }
 
-    /// Puts an entry of the host list.
+    /// Adds or replaces an entry of the host list.
     ///
     /// # Errors
     ///
--- a/crates/store/src/config.rs
+++ b/crates/store/src/config.rs
@@ -1,9 +1,9 @@
-//! How the configuration lies in the platform's table and object store.
+//! Storage of the configuration in the platform's table and object store.
 //!
-//! The head row names the accepted version and is written under the condition that it is unchanged.
-//! The same transaction writes the revision into a row of its own, so that nodes read only what they
-//! lack. Every so many versions a snapshot object is written for nodes that start, and revisions far
-//! behind it are dropped.
+//! The head row names the accepted version and is replaced by compare-and-swap. In the same
+//! transaction the revision is written to a row of its own, so that hosts read only the revisions
+//! that they lack. Every 64 versions a snapshot object is written for hosts that start or are far
+//! behind, and revisions more than 8192 versions older than the snapshot are deleted.
 
 use base::prelude::*;
 use profiles::change::Revision;
@@ -18,47 +18,47 @@
 use crate::client::Platform;
 use crate::wire::{Expect, Op, Outcome, Row, Transact, Write};
 
-/// The row that names the accepted version.
+/// Key of the row that names the accepted version.
 const HEAD: &str = "config/head";
 
-/// The row that names the latest snapshot.
+/// Key of the row that names the version of the latest snapshot.
 const SNAPSHOT: &str = "config/snapshot";
 
-/// The versions between two snapshots.
+/// Number of versions from one snapshot to the next.
 const SNAPSHOT_INTERVAL: u64 = 64;
 
-/// The revisions that are kept behind a snapshot.
+/// Number of revisions kept before each snapshot.
 const KEPT_REVISIONS: u64 = 8_192;
 
-/// The most revisions in one read.
+/// Maximum number of revisions in one read.
 const MAX_BATCH: u64 = 256;
 
-/// The accepted version.
+/// Value of the head row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
-    /// The version.
+    /// Accepted version.
     pub version: Version,
-    /// The operation that made it.
+    /// Operation that created this version.
     pub operation: OperationId,
 }
 
-/// The head row as it was read.
+/// Head row as read, against which a commit is checked.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HeadRow {
-    /// The number of the write that made the row, if there is one.
+    /// Version of the table row; `None` if the row does not exist.
     pub row: Option<u64>,
-    /// The accepted version; 0 if there is no row.
+    /// Accepted version of the configuration; 0 if the row does not exist.
     pub version: Version,
 }
 
-/// The value of the snapshot row.
+/// Value of the snapshot row.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct SnapshotPointer {
     version: Version,
 }
 
 impl Platform {
-    /// Reads the accepted version.
+    /// Reads the head row.
     ///
     /// # Errors
     ///
@@ -74,7 +74,7 @@
         })
     }
 
-    /// Reads the revision that made `version`, if it is still kept.
+    /// Reads the revision that created `version`; `None` if it does not exist or was deleted.
     ///
     /// # Errors
     ///
@@ -84,7 +84,10 @@
         row.map(|r| self.decode(r.value)).transpose()
     }
 
-    /// Reads a part of what a node lacks that holds `after`, when `head` is accepted.
+    /// Reads the next part of the update from version `after` to version `head`.
+    ///
+    /// Returns the latest snapshot if it is newer than `after` and more than 256 revisions are
+    /// missing, else at most 256 revisions.
     ///
     /// # Errors
     ///
@@ -100,7 +103,7 @@
         self.revisions(after.0 + 1, last).await.map(News::Changes)
     }
 
-    /// Reads the kept revisions from `first` to `last`, the latest 256 of them at most.
+    /// Reads the revisions from `first` to `last` that still exist, at most the latest 256.
     ///
     /// # Errors
     ///
@@ -115,7 +118,7 @@
         kept.map(|row| self.decode(row.value)).collect()
     }
 
-    /// Makes `revision` the accepted version if the head is still `head`.
+    /// Makes `revision` the accepted version, provided that the head row is still `head`.
     pub async fn commit(&self, head: &HeadRow, revision: &Revision) -> Written {
         match self.transact(&commit_ops(head, revision)).await {
             Ok(Outcome::Committed(_)) => Written::Committed,
@@ -125,11 +128,14 @@
         }
     }
 
-    /// Writes a snapshot of an accepted document if one is due.
+    /// Writes a snapshot of an accepted document if its version is a multiple of 64.
+    ///
+    /// Also deletes revisions that are too old to be kept.
     ///
     /// # Errors
     ///
-    /// Any [`CallError`]; the snapshot before remains in use then.
+    /// Any [`CallError`]; the previous snapshot remains in use, unless the last write took effect
+    /// and only its answer was lost.
     pub async fn write_snapshot(&self, document: &Document) -> Result<(), CallError> {
         let version = document.version;
         if !version.0.is_multiple_of(SNAPSHOT_INTERVAL) {
@@ -151,7 +157,7 @@
         Ok(())
     }
 
-    /// Reads the latest snapshot.
+    /// Reads the latest snapshot; `None` if none has been written.
     async fn snapshot(&self) -> Result<Option<Document>, CallError> {
         let Some(row) = self.row(SNAPSHOT).await? else {
             return Ok(None);
@@ -174,7 +180,7 @@
     }
 }
 
-/// The transaction that makes `revision` the accepted version.
+/// Transaction that makes `revision` the accepted version, provided that the head row is `head`.
 pub fn commit_ops(head: &HeadRow, revision: &Revision) -> Transact {
     let next = Head {
         version: revision.version,
@@ -198,12 +204,12 @@
     }
 }
 
-/// The key of the row with the revision that made `version`.
+/// Key of the row with the revision that created `version`.
 fn change_key(version: u64) -> String {
     format!("config/change/{version}")
 }
 
-/// The name of the object with the snapshot at `version`.
+/// Name of the object with the snapshot of `version`.
 fn snapshot_name(version: Version) -> String {
     format!("config/snapshot/{version}")
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,4 +1,4 @@
-//! The adapter to the platform: table, object store, host list and weight store.
+//! Adapter to the platform: its table, object store and host list.
 //!
 //! This is the only crate that knows the platform's paths and JSON shapes.
 
--- a/crates/store/src/wire.rs
+++ b/crates/store/src/wire.rs
@@ -1,4 +1,4 @@
-//! JSON shapes of the platform interface.
+//! JSON types of the platform interface.
 
 use std::net::SocketAddr;
 
@@ -6,134 +6,134 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// A row of the table.
+/// Row of the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
-    /// The key.
+    /// Key, unique in the table.
     pub key: String,
-    /// The number of the write that made this value; it grows with each write of the row.
+    /// Number of the write that set this value; increases with each write of the row.
     pub version: u64,
-    /// The value.
+    /// JSON document held by the row.
     pub value: Value,
 }
 
-/// What a row must be for a transaction to take effect.
+/// Condition on a row, without which the transaction has no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Expect {
-    /// Anything.
+    /// No condition.
     Any,
-    /// Not there.
+    /// The row does not exist.
     Absent,
-    /// There, at this version.
+    /// The row exists and has this version.
     Version(u64),
 }
 
-/// What a transaction does with a row.
+/// Effect of a transaction on a row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Write {
-    /// Nothing: the row is only compared.
+    /// No effect; only the condition is checked.
     Check,
-    /// Puts a value.
+    /// Creates the row or replaces its value.
     Put(Value),
-    /// Takes the row away.
+    /// Deletes the row.
     Delete,
 }
 
-/// One part of a transaction.
+/// Operation of a transaction on one row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Op {
-    /// The key of the row.
+    /// Key of the row.
     pub key: String,
-    /// The condition.
+    /// Condition for the whole transaction.
     pub expect: Expect,
-    /// The effect.
+    /// Effect on the row, once all conditions hold.
     pub write: Write,
 }
 
-/// The body of `POST /v1/table/transact`: all operations take effect or none does.
+/// Body of `POST /v1/table/transact`: all operations take effect or none does.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Transact {
-    /// The operations.
+    /// Operations, each on one row.
     pub ops: Vec<Op>,
 }
 
-/// The answer to a transaction.
+/// Response to a transaction.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// It took effect; the versions of the rows after it, in order of the operations.
+    /// All operations took effect; holds the new versions of the rows, in order of the operations.
     Committed(Vec<u64>),
-    /// It had no effect; the rows whose condition did not hold, as they are.
+    /// No operation took effect; holds the rows whose conditions failed.
     Conflict(Vec<Mismatch>),
 }
 
-/// A row that did not meet its condition.
+/// Row whose condition failed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Mismatch {
-    /// The index of the operation.
+    /// Index of the operation in [`Transact::ops`].
     pub index: usize,
-    /// The row, if there is one.
+    /// The row as it is; `None` if it does not exist.
     pub row: Option<Row>,
 }
 
-/// The body of `POST /v1/table/read`; the answer is a list of [`Row`]s or nulls.
+/// Body of `POST /v1/table/read`; the response has a [`Row`] or null for each key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Read {
-    /// The keys.
+    /// Keys of the rows to read.
     pub keys: Vec<String>,
 }
 
-/// The body of `POST /v1/table/scan`; the answer is a list of [`Row`]s in order of key.
+/// Body of `POST /v1/table/scan`; the response is a list of [`Row`]s in order of key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Scan {
-    /// Keys start with this.
+    /// Prefix of the keys to read.
     pub prefix: String,
-    /// Keys come after this.
+    /// Cursor: only greater keys are read; empty to start at the first.
     pub after: String,
-    /// The most rows.
+    /// Maximum number of rows.
     pub limit: usize,
 }
 
-/// The answer to `GET /v1/hosts`; it may lag by seconds.
+/// Response to `GET /v1/hosts`; it may be several seconds old.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostList {
-    /// The number of changes of the list up to this one.
+    /// Revision of the list: the number of changes made to it so far.
     pub revision: u64,
-    /// The hosts, sorted by name.
+    /// Entry hosts and backend servers, sorted by name.
     pub hosts: Vec<Host>,
 }
 
-/// An entry of the host list; `POST /v1/hosts` puts one.
+/// Entry of the host list, and the body of `POST /v1/hosts`, which adds or replaces it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Host {
-    /// The name of the host or backend server.
+    /// Name of the host or backend server.
     pub name: String,
-    /// Its data centre.
+    /// Data centre in which it runs.
     pub data_centre: DataCentre,
-    /// What it is.
+    /// Kind of the entry, with its addresses.
     pub kind: HostKind,
-    /// Whether it is to be used no more.
+    /// Whether it is being removed from service and gets no new work.
     pub leaving: bool,
 }
 
-/// What a host is.
+/// Kind of an entry of the host list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostKind {
     /// An entry host.
     Entry {
-        /// Where its router takes calls of its peers.
+        /// Address on which its router accepts peer calls.
         router: SocketAddr,
-        /// Where its agent takes calls of its peers.
+        /// Address on which its agent accepts peer calls.
         agent: SocketAddr,
     },
     /// A backend server.
     Backend {
-        /// The service of which it is a part.
+        /// Service to which it belongs.
         service: ServiceName,
-        /// Where it takes requests.
+        /// Address on which it accepts requests.
         addr: SocketAddr,
     },
 }
--- a/crates/telemetry/src/admin.rs
+++ b/crates/telemetry/src/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' entry of a daemon: its state and its readiness.
+//! Operator HTTP endpoints of a daemon: its state, its readiness and the check of the operator key.
 
 use base::hash::key_digest;
 use base::prelude::*;
@@ -9,23 +9,23 @@
 use serde_json::Value;
 use web::{Response, reply};
 
-/// The error body of the operators' entry.
+/// Error body of the operator endpoints.
 #[derive(Clone, Debug, Serialize)]
 pub struct AdminError {
-    /// The kind of error.
+    /// Machine-readable kind of error, such as `not_found`.
     pub kind: &'static str,
-    /// What happened and what to do.
+    /// Description of the failure and its remedy.
     pub message: String,
 }
 
-/// Whether a process takes work.
+/// Response to `GET /v1/ready`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Readiness {
-    /// Whether it does.
+    /// Whether the process accepts work.
     pub ready: bool,
-    /// Why it does not, or an empty text.
+    /// Reason why it does not; empty if it does.
     pub reason: String,
-    /// The version of the configuration in force.
+    /// Version of the configuration in force.
     pub version: Version,
 }
 
@@ -45,9 +45,10 @@
     }
 }
 
-/// The refusal of a request whose operator's key is missing or wrong; it is logged.
+/// Checks the operator key of a request; returns `None` if it is correct.
 ///
-/// `digest` is that of the key, from the settings of the process on `host`.
+/// Otherwise logs the refusal and returns the response. `digest` is the digest of the key, from the
+/// settings of the process on `host`; without one, every request is refused.
 pub fn refusal(
     host: &HostId,
     digest: Option<&str>,
@@ -59,13 +60,13 @@
         .and_then(|v| v.to_str().ok())
         .and_then(|v| v.strip_prefix("Bearer "));
     let message = match (digest, bearer) {
-        (None, _) => "there is no `operator_digest` in the settings; write one to admit operators",
+        (None, _) => "`operator_digest` is not set in the settings; set it to admit operators",
         (_, None) => "no operator's key; send `Authorization: Bearer KEY`",
         (Some(digest), Some(key)) if key_digest(key) == digest => return None,
-        _ => "the operator's key is wrong; use the one whose digest stands in the settings",
+        _ => "the operator's key is wrong; use the one whose digest is in the settings",
     };
     let path = request.uri().path();
-    log::warn!("operator refused host={host} path={path} cause=\"{message}\"");
+    log::warn!("operator request refused host={host} path={path} cause=\"{message}\"");
     let error = AdminError {
         kind: "unauthorized",
         message: message.to_owned(),
@@ -73,12 +74,12 @@
     Some(reply::json(StatusCode::UNAUTHORIZED, &error))
 }
 
-/// The answer to a request that the operators' entry does not know.
+/// Response to a request for which there is no operator endpoint.
 pub fn not_found(request: &Request<Incoming>) -> Response {
     let error = AdminError {
         kind: "not_found",
         message: format!(
-            "{} {} is not known here; try GET /v1/state or GET /v1/ready",
+            "no such endpoint: {} {}; try GET /v1/state or GET /v1/ready",
             request.method(),
             request.uri().path()
         ),
--- a/crates/telemetry/src/daemon.rs
+++ b/crates/telemetry/src/daemon.rs
@@ -1,4 +1,4 @@
-//! What every daemon does before it starts and when it ends.
+//! Start and exit of a daemon: settings, logger and exit code.
 
 use std::fmt::Display;
 use std::path::Path;
@@ -8,11 +8,11 @@
 use settings::Checked;
 use settings::common::Log;
 
-/// Reads and checks the settings and sets the logger.
+/// Reads and checks the settings and installs the logger for standard error.
 ///
 /// # Errors
 ///
-/// The exit code if the process is to end here: the settings are wrong, or were only to be checked.
+/// The exit code if the process is to exit: the settings are invalid, or `is_check` is set.
 pub fn prepare<T: DeserializeOwned + Checked>(
     program: &str,
     file: &Path,
@@ -24,11 +24,11 @@
     Ok(settings)
 }
 
-/// Reads and checks the settings.
+/// Reads and checks the settings; prints a confirmation if `is_check`.
 ///
 /// # Errors
 ///
-/// The exit code if the process is to end here: the settings are wrong, or were only to be checked.
+/// The exit code if the process is to exit: the settings are invalid, or `is_check` is set.
 pub fn read_settings<T: DeserializeOwned + Checked>(
     program: &str,
     file: &Path,
@@ -42,7 +42,7 @@
     Ok(settings)
 }
 
-/// The exit code of a daemon that has ended with `result`; an error is printed.
+/// Returns the exit code of a daemon that ended with `result`; prints an error to standard error.
 pub fn exit_code<E: Display>(program: &str, result: Result<(), E>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,4 +1,4 @@
-//! Logs, metrics and the operators' view of a process.
+//! Logs, metrics, operator endpoints and start-up code shared by the daemons.
 
 pub mod admin;
 pub mod daemon;
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of a process, by `cadence` to a statsd address.
+//! Metrics of a process, sent to statsd by `cadence`.
 
 use std::net::{SocketAddr, UdpSocket};
 
@@ -7,10 +7,10 @@
 
 pub use cadence::prelude::*;
 
-/// The prefix of all names.
+/// First part of all metric names.
 const PREFIX: &str = "gooseberry";
 
-/// Why metrics cannot be sent.
+/// Failure to set up the socket for statsd.
 #[derive(Debug, Error)]
 #[error("metrics cannot be sent to {addr}: {cause}; correct `statsd` in the settings")]
 pub struct MetricsError {
@@ -18,11 +18,13 @@
     cause: String,
 }
 
-/// A client that sends to `statsd`, or nowhere.
+/// Creates a client that sends to `statsd`, or discards all metrics if it is `None`.
+///
+/// Names start with `gooseberry.` and `process`; each metric has the tag `host`.
 ///
 /// # Errors
 ///
-/// [`MetricsError`] if no socket can be had.
+/// [`MetricsError`] if no UDP socket can be opened.
 pub fn start(
     process: &str,
     host: &str,
--- a/crates/telemetry/src/stderr_log.rs
+++ b/crates/telemetry/src/stderr_log.rs
@@ -1,12 +1,12 @@
-//! The log of a process, by `simplelog` to standard error.
+//! Log on standard error, by `simplelog`.
 //!
-//! Messages carry their fields as `name=value`; each line of a request has `key` and `host`.
+//! Messages carry their fields as `name=value`; each line about a request has `key` and `host`.
 
 use log::LevelFilter;
 use settings::common::{Format, Level, Log};
 use simplelog::{ConfigBuilder, WriteLogger};
 
-/// Sets the process's logger; a second call has no effect.
+/// Installs the logger of the process; a second call has no effect.
 pub fn start(log: &Log) {
     let mut config = ConfigBuilder::new();
     config.set_time_format_rfc3339();
@@ -18,12 +18,11 @@
     } else {
         config.set_target_level(LevelFilter::Error);
     }
-    // The transport's own lines say nothing of requests.
+    // Omits the lines of the RPC transport, which do not identify requests.
     config.add_filter_ignore_str("tarpc");
     let _ = WriteLogger::init(filter(log.level), config.build(), std::io::stderr());
 }
 
-/// The filter of a level.
 fn filter(level: Level) -> LevelFilter {
     match level {
         Level::Off => LevelFilter::Off,
--- a/crates/telemetry/src/stdout_log.rs
+++ b/crates/telemetry/src/stdout_log.rs
@@ -1,30 +1,30 @@
-//! Structured log lines on standard output, by `tracing`.
+//! Structured log on standard output, by `tracing`.
 //!
-//! A thread of its own writes them. When the sink lags, lines are dropped and counted; the request
-//! path never waits for the log.
+//! A separate thread writes the lines. When it cannot keep up, lines are dropped and counted, so
+//! that the request path never waits for the log.
 
 use settings::common::Level;
 use tracing_appender::non_blocking::{ErrorCounter, NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::filter::LevelFilter;
 use tracing_subscriber::fmt::time::SystemTime;
 
-/// The lines that wait for the sink at most; at 300 bytes a line this is 1.2 MB.
+/// Maximum number of lines queued for the writer; at 300 bytes a line this is 1.2 MB.
 const MAX_QUEUED_LINES: usize = 4_096;
 
-/// The log of a process; lines that wait are written when it is dropped.
+/// Handle of the log; queued lines are written when it is dropped.
 pub struct StdoutLog {
     dropped: ErrorCounter,
     _guard: WorkerGuard,
 }
 
 impl StdoutLog {
-    /// Counts the lines dropped because the sink lagged.
+    /// Counter of the lines dropped because the queue was full.
     pub fn counter(&self) -> ErrorCounter {
         self.dropped.clone()
     }
 }
 
-/// Sets the process's log; a second call has no effect.
+/// Installs the log of the process; a second call has no effect.
 pub fn start(level: Level) -> StdoutLog {
     let (sink, guard) = NonBlockingBuilder::default()
         .lossy(true)
@@ -38,7 +38,7 @@
         .with_target(false)
         .with_writer(sink)
         .finish();
-    // Only a second call fails, which then keeps the first log.
+    // This fails only on a second call, after which the first log remains installed.
     let _ = tracing::subscriber::set_global_default(subscriber);
     StdoutLog {
         dropped,
@@ -46,7 +46,6 @@
     }
 }
 
-/// The filter of a level.
 fn filter(level: Level) -> LevelFilter {
     match level {
         Level::Off => LevelFilter::OFF,
--- a/crates/web/src/client.rs
+++ b/crates/web/src/client.rs
@@ -1,4 +1,4 @@
-//! An HTTP/1.1 client that opens one connection a call and never sends a request twice.
+//! HTTP/1.1 client that opens a connection for each call and never sends a request twice.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,70 +17,70 @@
 use tokio::time::{Instant, timeout_at};
 use tokio_util::io::{InspectReader, InspectWriter};
 
-/// The largest whole response body that is read, in bytes.
+/// Maximum size of a response body that is read completely.
 const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 
-/// Why a call has no usable answer.
+/// Error of a call; tells whether the request may have been received.
 #[derive(Debug, Error)]
 pub enum CallError {
-    /// No connection: the request was certainly not sent.
+    /// The connection could not be opened; the request was not sent.
     #[error("no connection to {addr}: {cause}; check that the process runs and listens there")]
     Connect {
-        /// The address that was tried.
+        /// Address of the server.
         addr: SocketAddr,
-        /// The cause given by the system.
+        /// Cause given by the operating system, the HTTP library or the timeout.
         cause: String,
     },
-    /// The connection broke after the request may have been sent.
-    #[error("the connection to {addr} broke: {cause}; the request may have been received")]
+    /// The connection failed after the request may have been sent.
+    #[error("the connection to {addr} failed: {cause}; the request may have been received")]
     Broken {
-        /// The address of the server.
+        /// Address of the server.
         addr: SocketAddr,
-        /// The cause given by the HTTP library.
+        /// Cause given by the HTTP library.
         cause: String,
     },
-    /// No answer in time, after the request may have been sent.
+    /// The time limit expired after the request may have been sent.
     #[error("no answer from {addr} in time; the request may have been received")]
     Timeout {
-        /// The address of the server.
+        /// Address of the server.
         addr: SocketAddr,
     },
-    /// The server answered with a status other than success.
+    /// The server answered with an unsuccessful status.
     #[error("{addr} answered {status}: {body}")]
     Status {
-        /// The address of the server.
+        /// Address of the server.
         addr: SocketAddr,
-        /// The status.
+        /// HTTP status code.
         status: StatusCode,
-        /// The body, as text.
+        /// Response body, with invalid UTF-8 replaced.
         body: String,
     },
-    /// The server's answer is not of the expected shape.
+    /// The response body is not JSON of the expected type.
     #[error(
         "{addr} answered in an unexpected shape: {cause}; check that both run the same version"
     )]
     Decode {
-        /// The address of the server.
+        /// Address of the server.
         addr: SocketAddr,
-        /// The cause given by the JSON library.
+        /// Cause given by the JSON library.
         cause: String,
     },
 }
 
 impl CallError {
-    /// Whether it is certain that the server never received the request.
+    /// Whether the request was certainly not sent; otherwise the server may have received it.
     pub fn is_unsent(&self) -> bool {
         matches!(self, Self::Connect { .. })
     }
 }
 
-/// Sends `request` over a new connection and returns the head of the answer.
+/// Sends `request` over a new connection and returns the response once its head has arrived.
 ///
-/// The body of the answer has no time limit of its own. Dropping it closes the connection.
+/// `limit` does not cover the body of the response. Dropping the body closes the connection.
 ///
 /// # Errors
 ///
-/// Any [`CallError`] but `Status` and `Decode`.
+/// Any [`CallError`] except `Status` and `Decode`.
 pub async fn send(
     addr: SocketAddr,
     request: Request<Full<Bytes>>,
@@ -92,7 +92,7 @@
         .await
         .map_err(|e| unreachable(e.to_string()))?
         .map_err(|e| unreachable(e.to_string()))?;
-    // Without this, small frames wait for the peer's delayed acknowledgement.
+    // Nagle's algorithm would hold small writes until the peer's delayed acknowledgement.
     let _ = stream.set_nodelay(true);
     let (mut sender, connection) = timeout_at(
         deadline,
@@ -111,7 +111,7 @@
         })
 }
 
-/// A connection whose bytes are counted.
+/// Connection whose bytes are counted in [`base::traffic`].
 type CountedStream = InspectReader<InspectWriter<TcpStream, fn(&[u8])>, fn(&[u8])>;
 
 fn count_bytes(stream: TcpStream) -> CountedStream {
@@ -119,7 +119,7 @@
     InspectReader::new(written, traffic::received)
 }
 
-/// Sends `body` as JSON and reads a JSON answer.
+/// Sends `body` as JSON and decodes the JSON response; `limit` covers the whole call.
 ///
 /// # Errors
 ///
@@ -143,7 +143,7 @@
     })
 }
 
-/// Reads a JSON answer to a request without a body.
+/// Sends a `GET` request and decodes the JSON response.
 ///
 /// # Errors
 ///
@@ -156,7 +156,7 @@
     call(addr, Method::GET, path, &(), limit).await
 }
 
-/// Builds a request with a JSON body.
+/// Builds a request to `addr` with `body` as JSON.
 pub fn json_request<Q: Serialize>(
     addr: SocketAddr,
     method: Method,
@@ -173,11 +173,11 @@
         .unwrap_or_default()
 }
 
-/// Reads the whole body of a successful answer.
+/// Reads the complete body of a successful response.
 ///
 /// # Errors
 ///
-/// `Status` for any other answer, `Broken` if the body ends early.
+/// `Status` for an unsuccessful response; `Broken` if the body ends early or is larger than 64 MiB.
 pub async fn read_whole(
     addr: SocketAddr,
     response: hyper::Response<Incoming>,
--- a/crates/web/src/lib.rs
+++ b/crates/web/src/lib.rs
@@ -1,6 +1,6 @@
-//! HTTP plumbing over `hyper` for both sides: a server loop, a client that never re-sends, and JSON.
+//! HTTP over `hyper`: a server loop, a client that sends each request at most once, and JSON.
 //!
-//! The crate knows nothing of routing decisions.
+//! The crate makes no routing decisions.
 
 pub mod client;
 pub mod reply;
@@ -11,16 +11,16 @@
 use http_body_util::{Either, Full};
 use thiserror::Error;
 
-/// A response body: whole, or written piece by piece.
+/// Response body, either complete or streamed in chunks.
 pub type Body = Either<Full<Bytes>, Channel<Bytes, StreamCut>>;
 
-/// A response with a body of this crate.
+/// HTTP response with a [`Body`].
 pub type Response = hyper::Response<Body>;
 
-/// The server's end of a response body that is written piece by piece.
+/// Sender of the chunks of a streamed response body.
 pub type BodySender = http_body_util::channel::Sender<Bytes, StreamCut>;
 
-/// The reason for which a server ends a body early; the peer sees a broken connection.
+/// Error that aborts a streamed body, so that the peer does not take the body for complete.
 #[derive(Clone, Copy, Debug, Error)]
-#[error("the stream was cut by the server; repeat the request with its key")]
+#[error("the server aborted the stream; retry the request with the same idempotency key")]
 pub struct StreamCut;
--- a/crates/web/src/reply.rs
+++ b/crates/web/src/reply.rs
@@ -1,4 +1,4 @@
-//! Responses and request bodies in JSON.
+//! Responses in JSON, bytes and server-sent events, and reading of request bodies.
 
 use bytes::Bytes;
 use http_body_util::channel::Channel;
@@ -11,30 +11,30 @@
 
 use crate::{Body, BodySender, Response};
 
-/// How many written pieces a streamed body holds before its writer waits.
+/// Chunks that a streamed body buffers before its writer has to wait.
 const MAX_QUEUED_CHUNKS: usize = 16;
 
-/// Why a request body cannot be used.
+/// Error of reading a request body.
 #[derive(Debug, Error)]
 pub enum BodyError {
     /// The body is larger than the limit.
     #[error("the body is larger than {limit} bytes; send a shorter one")]
     TooLarge {
-        /// The limit in bytes.
+        /// Maximum size in bytes.
         limit: usize,
     },
-    /// The body ended early.
+    /// The body ended before it was complete, or its connection failed.
     #[error("the body ended early; send the request again")]
     Broken,
-    /// The body is not JSON of the expected shape.
-    #[error("the body is not as expected: {cause}; correct it and send it again")]
+    /// The body is not JSON of the expected type.
+    #[error("the body cannot be decoded: {cause}; correct it and send it again")]
     Malformed {
-        /// The cause and its place, given by the JSON library.
+        /// Cause and position given by the JSON library.
         cause: String,
     },
 }
 
-/// A response with `value` as JSON.
+/// Builds a response with `value` as JSON.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Response {
     let bytes = serde_json::to_vec(value).unwrap_or_default();
     let mut response = hyper::Response::new(full(bytes));
@@ -46,7 +46,7 @@
     response
 }
 
-/// A response of server-sent events, and the end through which they are written.
+/// Builds a response of server-sent events, and the sender of its chunks.
 pub fn events() -> (BodySender, Response) {
     let (sender, body) = Channel::new(MAX_QUEUED_CHUNKS);
     let mut response = hyper::Response::new(Either::Right(body));
@@ -57,7 +57,7 @@
     (sender, response)
 }
 
-/// A body that is sent whole.
+/// Builds a complete, non-streamed body.
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Either::Left(Full::new(bytes.into()))
 }
@@ -78,7 +78,7 @@
     }
 }
 
-/// Reads a request body of JSON.
+/// Reads a JSON request body of at most `limit` bytes.
 ///
 /// # Errors
 ///
--- a/crates/web/src/server.rs
+++ b/crates/web/src/server.rs
@@ -1,4 +1,4 @@
-//! The server loop.
+//! HTTP server loop with graceful shutdown.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -15,10 +15,10 @@
 
 use crate::Response;
 
-/// The largest request head accepted, in bytes.
+/// Maximum size of a request head.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
 
-/// Serves connections until `stop` is cancelled, then waits for the requests in flight.
+/// Accepts and serves connections until `stop` is cancelled, then waits for the requests in flight.
 pub async fn serve<F, R>(listener: TcpListener, stop: CancellationToken, handler: F)
 where
     F: Fn(Request<Incoming>) -> R + Clone + Send + 'static,
@@ -32,7 +32,7 @@
         };
         // A failed accept concerns one connection only; the listener remains usable.
         let Ok((stream, _)) = accepted else { continue };
-        // Without this, small frames wait for the peer's delayed acknowledgement.
+        // Nagle's algorithm would hold small writes until the peer's delayed acknowledgement.
         let _ = stream.set_nodelay(true);
         tasks.spawn(connection(stream, stop.clone(), handler.clone()));
     }
