--- a/crates/gooseberry-agent/tests/config/spread.rs
+++ b/crates/gooseberry-agent/tests/config/spread.rs
@@ -164,7 +164,7 @@
             platform.commit(&head, &revision).await,
             WriteResult::Committed
         );
-        let kept = platform.keep_snapshot(held.document()).await;
+        let kept = platform.write_snapshot(held.document()).await;
         kept.expect("a snapshot, if one is due");
     }
     let gone = (1..=200).map(|version| Op {
--- a/crates/gooseberry-standin/src/platform/table.rs
+++ b/crates/gooseberry-standin/src/platform/table.rs
@@ -2,7 +2,7 @@
 
 use base::sorted::Sorted;
 use serde_json::Value;
-use store::wire::{Expect, Found, Op, Outcome, Row, Scan, Write};
+use store::wire::{Expect, Mismatch, Op, Outcome, Row, Scan, Write};
 
 /// A value and its version.
 #[derive(Clone, Debug)]
@@ -26,11 +26,11 @@
     /// Returns the version of each row after the transaction (0 if it is absent), or the rows
     /// whose condition was not met.
     pub(super) fn transact(&mut self, ops: &[Op]) -> Outcome {
-        let failed: Vec<Found> = ops
+        let failed: Vec<Mismatch> = ops
             .iter()
             .enumerate()
             .filter(|(_, op)| !self.is_met(op))
-            .map(|(index, op)| Found {
+            .map(|(index, op)| Mismatch {
                 index,
                 row: self.read(&op.key),
             })
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,8 +1,8 @@
-//! Logs, metrics and the operators' view of a process.
+//! Logs, metrics, operator endpoints and start-up code shared by the daemons.
 
 pub mod admin;
 pub mod daemon;
-pub mod lines;
-pub mod logs;
 pub mod metrics;
 pub mod signals;
+pub mod stderr_log;
+pub mod stdout_log;
