--- a/crates/gooseberry-gateway/src/serve.rs
+++ b/crates/gooseberry-gateway/src/serve.rs
@@ -143,7 +143,7 @@
     {
         let response = reply::refused(
             "stopping",
-            "the host is stopping; the request has not run, send it to another host",
+            "the host is stopping, too little time is left; the request has not run, send it to another host",
             STOPPING_RETRY_MS,
         );
         job.record_end(ctx, "stopping", response.status(), None);
