--- a/crates/gooseberry-gateway/src/copies.rs
+++ b/crates/gooseberry-gateway/src/backups.rs
@@ -18,31 +18,31 @@
 use tokio_util::task::AbortOnDropHandle;
 
 use crate::context::Context;
-use crate::fleet::{Lease, Want};
+use crate::fleet::{Lease, PlacementRequest};
 use crate::liveness;
 use crate::send::{self, Job};
 
 /// How often the server that holds a copy is checked.
-const CHECK: Millis = Millis(400);
+const CHECK_INTERVAL: Millis = Millis(400);
 
 /// A holder that was heard within this time is not asked whether it is there.
-const HEARD: Millis = Millis(1_500);
+const RECENT_ACTIVITY: Millis = Millis(1_500);
 
 /// How long a holder may take to accept a connection.
-const ASK_LIMIT: Millis = Millis(120);
+const PROBE_TIMEOUT: Millis = Millis(120);
 
 /// How often a copy that is made by calls is brought up to date; engines drop one after 4 s.
-const RENEW: Millis = Millis(1_000);
+const REFRESH_INTERVAL: Millis = Millis(1_000);
 
 /// How long a call that makes a copy may take; the copy itself takes a few milliseconds.
-const CALL_LIMIT: Millis = Millis(500);
+const CALL_TIMEOUT: Millis = Millis(500);
 
 /// The servers that are tried as holders of one copy.
-const MAX_HOLDERS: usize = 3;
+const MAX_CANDIDATES: usize = 3;
 
 /// The memory that a request needs at an engine.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Memory {
+pub struct KvDemand {
     /// The tokens that an engine holds.
     pub capacity: u64,
     /// The tokens that this request needs.
@@ -50,24 +50,24 @@
     /// The tokens of its prompt.
     pub prompt: u64,
     /// Whether engines copy what they hold to others.
-    pub copies: bool,
+    pub has_backups: bool,
 }
 
 /// A copy and the server that holds it.
 #[derive(Debug)]
-pub struct Held {
+pub struct Backup {
     /// The server, with the room that the copy takes.
-    pub holder: Lease,
+    pub server: Lease,
     /// What the copy is.
-    pub copy: KvBackup,
+    pub handle: KvBackup,
     /// Since when the server has held it.
     since: Millis,
 }
 
 /// The copy of a run, kept while the run goes on.
 #[derive(Debug)]
-pub struct Keeper {
-    held: Arc<Mutex<Option<Held>>>,
+pub struct BackupTask {
+    backup: Arc<Mutex<Option<Backup>>>,
     _task: AbortOnDropHandle<()>,
 }
 
@@ -80,60 +80,63 @@
     Copy(#[from] CopyError),
 }
 
-impl Held {
+impl Backup {
     /// A copy that the engine of a run keeps up to date at `holder`.
-    pub fn followed(holder: Lease, now: Millis) -> Self {
-        let copy = KvBackup::Followed {
-            holder: holder.addr,
+    pub fn followed(server: Lease, now: Millis) -> Self {
+        let handle = KvBackup::Followed {
+            holder: server.addr,
         };
         Self {
-            holder,
-            copy,
+            server,
+            handle,
             since: now,
         }
     }
 }
 
-impl Keeper {
+impl BackupTask {
     /// Watches over the copy of the run of `job` at the server `source`.
     pub fn start(
         ctx: &Arc<Context>,
         job: &Arc<Job>,
-        memory: Memory,
+        kv: KvDemand,
         source: &Lease,
-        held: Option<Held>,
+        backup: Option<Backup>,
     ) -> Self {
-        let held = Arc::new(Mutex::new(held));
-        let work = Work {
+        let backup = Arc::new(Mutex::new(backup));
+        let maintainer = Maintainer {
             ctx: Arc::clone(ctx),
             job: Arc::clone(job),
-            memory,
+            kv,
             source: source.id.clone(),
             addr: source.addr,
             centre: source.centre.clone(),
-            held: Arc::clone(&held),
+            backup: Arc::clone(&backup),
         };
-        let task = AbortOnDropHandle::new(tokio::spawn(work.run()));
-        Self { held, _task: task }
+        let task = AbortOnDropHandle::new(tokio::spawn(maintainer.run()));
+        Self {
+            backup,
+            _task: task,
+        }
     }
 
     /// The copy, once the run has ended.
-    pub fn take(self) -> Option<Held> {
-        lock(&self.held).take()
+    pub fn into_backup(self) -> Option<Backup> {
+        lock(&self.backup).take()
     }
 }
 
 /// Chooses a server in another data centre that is there, for a copy of a run at `centre`.
-pub async fn choose(
+pub async fn place_reachable(
     ctx: &Context,
     job: &Job,
-    memory: Memory,
+    kv: KvDemand,
     centre: &DataCentre,
     avoid: &[BackendId],
 ) -> Option<Lease> {
-    for _ in 0..MAX_HOLDERS {
-        let lease = place(ctx, job, memory, centre, avoid)?;
-        if liveness::is_there(ctx, &lease.id, HEARD, ASK_LIMIT).await {
+    for _ in 0..MAX_CANDIDATES {
+        let lease = place(ctx, job, kv, centre, avoid)?;
+        if liveness::is_reachable(ctx, &lease.id, RECENT_ACTIVITY, PROBE_TIMEOUT).await {
             return Some(lease);
         }
     }
@@ -145,63 +148,64 @@
 pub fn place(
     ctx: &Context,
     job: &Job,
-    memory: Memory,
+    kv: KvDemand,
     centre: &DataCentre,
     avoid: &[BackendId],
 ) -> Option<Lease> {
-    let want = Want {
+    let request = PlacementRequest {
         service: job.plan.service.as_str(),
         load: Load {
-            backups: memory.needed,
+            backups: kv.needed,
             ..Load::default()
         },
-        capacity: memory.capacity,
+        capacity: kv.capacity,
         avoid,
         avoid_centre: Some(centre.as_str()),
         // When this host is cut off from the run, the copy is on its side.
         prefer_centre: Some(ctx.data_centre.as_str()),
-        content: None,
+        prompt_hash: None,
     };
-    let lease = ctx.servers.place(ctx.now(), &want)?;
+    let lease = ctx.servers.place(ctx.now(), &request)?;
     (!avoid.contains(&lease.id)).then_some(lease)
 }
 
 /// What watches over one copy.
-struct Work {
+struct Maintainer {
     ctx: Arc<Context>,
     job: Arc<Job>,
-    memory: Memory,
+    kv: KvDemand,
     source: BackendId,
     addr: SocketAddr,
     centre: DataCentre,
-    held: Arc<Mutex<Option<Held>>>,
+    backup: Arc<Mutex<Option<Backup>>>,
 }
 
-impl Work {
+impl Maintainer {
     async fn run(self) {
-        let mut made = Millis(0);
+        let mut refreshed = Millis(0);
         loop {
-            self.ctx.timer.after(CHECK).await;
+            self.ctx.timer.after(CHECK_INTERVAL).await;
             let now = self.ctx.now();
-            let known = self.known();
-            let is_sound = match &known {
-                Some((holder, since, _)) => {
-                    self.ctx.servers.is_sound(holder, *since)
-                        && liveness::is_there(&self.ctx, holder, HEARD, ASK_LIMIT).await
+            let current = self.current();
+            let is_up = match &current {
+                Some((server, since, _)) => {
+                    self.ctx.servers.is_up_since(server, *since)
+                        && liveness::is_reachable(&self.ctx, server, RECENT_ACTIVITY, PROBE_TIMEOUT)
+                            .await
                 }
                 None => false,
             };
-            match known {
-                Some((_, _, None)) if is_sound => {}
-                Some((_, _, Some(addr))) if is_sound => {
-                    if now.since(made) >= RENEW && self.renew(addr).await {
-                        made = now;
+            match current {
+                Some((_, _, None)) if is_up => {}
+                Some((_, _, Some(addr))) if is_up => {
+                    if now.since(refreshed) >= REFRESH_INTERVAL && self.refresh(addr).await {
+                        refreshed = now;
                     }
                 }
                 _ => {
-                    lock(&self.held).take();
+                    lock(&self.backup).take();
                     if self.replace().await {
-                        made = now;
+                        refreshed = now;
                     }
                 }
             }
@@ -209,28 +213,28 @@
     }
 
     /// The holder, since when, and its address if the copy is made by calls.
-    fn known(&self) -> Option<(BackendId, Millis, Option<SocketAddr>)> {
-        let held = lock(&self.held);
-        let held = held.as_ref()?;
-        let addr = match held.copy {
+    fn current(&self) -> Option<(BackendId, Millis, Option<SocketAddr>)> {
+        let backup = lock(&self.backup);
+        let backup = backup.as_ref()?;
+        let addr = match backup.handle {
             KvBackup::Followed { .. } => None,
-            KvBackup::Moved { .. } => Some(held.holder.addr),
+            KvBackup::Moved { .. } => Some(backup.server.addr),
         };
-        Some((held.holder.id.clone(), held.since, addr))
+        Some((backup.server.id.clone(), backup.since, addr))
     }
 
     /// Brings a copy up to date; returns whether it was.
-    async fn renew(&self, addr: SocketAddr) -> bool {
-        match self.call(addr).await {
+    async fn refresh(&self, addr: SocketAddr) -> bool {
+        match self.request_copy(addr).await {
             Ok(handle) => {
-                if let Some(held) = lock(&self.held).as_mut() {
-                    held.copy = self.moved(handle);
+                if let Some(backup) = lock(&self.backup).as_mut() {
+                    backup.handle = self.snapshot_handle(handle);
                 }
                 true
             }
             Err(error) => {
-                self.failed(&error);
-                lock(&self.held).take();
+                self.log_failure(&error);
+                lock(&self.backup).take();
                 false
             }
         }
@@ -239,51 +243,52 @@
     /// Makes a copy at another server; returns whether there is one.
     async fn replace(&self) -> bool {
         let avoid = [self.source.clone()];
-        let holder = choose(&self.ctx, &self.job, self.memory, &self.centre, &avoid).await;
-        let Some(holder) = holder else { return false };
-        match self.call(holder.addr).await {
+        let server = place_reachable(&self.ctx, &self.job, self.kv, &self.centre, &avoid).await;
+        let Some(server) = server else { return false };
+        match self.request_copy(server.addr).await {
             Ok(handle) => {
                 tracing::info!(
-                    id = %self.job.call.id, server = %self.source, holder = %holder.id, "copy replaced"
+                    id = %self.job.call.id, server = %self.source, holder = %server.id, "copy replaced"
                 );
-                let held = Held {
-                    holder,
-                    copy: self.moved(handle),
+                let backup = Backup {
+                    server,
+                    handle: self.snapshot_handle(handle),
                     since: self.ctx.now(),
                 };
-                *lock(&self.held) = Some(held);
+                *lock(&self.backup) = Some(backup);
                 true
             }
             Err(error) => {
-                self.failed(&error);
+                self.log_failure(&error);
                 false
             }
         }
     }
 
-    fn moved(&self, handle: String) -> KvBackup {
+    fn snapshot_handle(&self, handle: String) -> KvBackup {
         KvBackup::Moved {
             source: self.addr,
             handle,
         }
     }
 
-    fn failed(&self, error: &CallError) {
+    fn log_failure(&self, error: &CallError) {
         tracing::info!(id = %self.job.call.id, server = %self.source, %error, "copy not made");
     }
 
     /// Has the run's memory copied to the server at `to`; returns the name of the copy.
-    async fn call(&self, to: SocketAddr) -> Result<String, CallError> {
+    async fn request_copy(&self, to: SocketAddr) -> Result<String, CallError> {
         let work = self.exchange(to);
-        match tokio::time::timeout(CALL_LIMIT.duration(), work).await {
+        match tokio::time::timeout(CALL_TIMEOUT.duration(), work).await {
             Ok(result) => result,
             Err(_) => Err(CallError::Unreachable),
         }
     }
 
     async fn exchange(&self, to: SocketAddr) -> Result<String, CallError> {
-        let opened = send::link(&self.ctx, &self.source, self.addr, CALL_LIMIT, "copy").await;
-        let mut link = opened.map_err(|_| CallError::Unreachable)?;
+        let connected =
+            send::connect(&self.ctx, &self.source, self.addr, CALL_TIMEOUT, "copy").await;
+        let mut link = connected.map_err(|_| CallError::Unreachable)?;
         let body = kv_copy::encode(&self.job.call.id, to);
         let mut request = Request::new(Full::new(Bytes::from(body)));
         *request.method_mut() = Method::POST;
@@ -294,11 +299,11 @@
         let (status, body) = answer.map_err(|_| CallError::Unreachable)?;
         self.ctx
             .servers
-            .keep(&self.source, link, self.ctx.now(), None);
+            .keep_idle(&self.source, link, self.ctx.now(), None);
         Ok(kv_copy::decode(status, &body)?)
     }
 }
 
-fn lock(held: &Mutex<Option<Held>>) -> std::sync::MutexGuard<'_, Option<Held>> {
-    held.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(backup: &Mutex<Option<Backup>>) -> std::sync::MutexGuard<'_, Option<Backup>> {
+    backup.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/gooseberry-gateway/src/calls.rs
+++ b/crates/gooseberry-gateway/src/calls.rs
@@ -11,67 +11,67 @@
 use relay::{Action, Outcome, SendHistory};
 
 use crate::context::Context;
-use crate::fleet::{Lease, Want};
+use crate::fleet::{Lease, PlacementRequest};
 use crate::reply::{self, Body};
-use crate::send::{self, Extra, Job, Opened, Unanswered};
+use crate::send::{self, FailureTexts, Job, OpenResponse, StreamOptions};
 
 /// The largest answer that is held in memory, in bytes.
-const MAX_ANSWER: usize = 16 << 20;
+const MAX_ANSWER_BYTES: usize = 16 << 20;
 
 /// What a caller is told whose call no server answered.
-const UNANSWERED: Unanswered = Unanswered {
-    refused: "no backend server could take the request; it has not run, come back later",
-    after_ms: 300,
+const FAILURE_TEXTS: FailureTexts = FailureTexts {
+    not_run: "no backend server could take the request; it has not run, come back later",
+    retry_ms: 300,
     timeout: "no answer came within the time limit; the request may have run",
     lost: "the backend server was lost before its answer was whole; the request may have run",
 };
 
 /// A whole answer of a backend server.
 #[derive(Debug)]
-struct Answer {
+struct FullAnswer {
     response: Response<Bytes>,
     head: Head,
 }
 
 /// Runs a call and answers its caller.
 pub async fn run(ctx: &Arc<Context>, job: &Job) -> Response<Body> {
-    let mut tries = SendHistory::default();
+    let mut history = SendHistory::default();
     let mut avoid: Vec<BackendId> = Vec::new();
     loop {
-        let want = Want {
+        let request = PlacementRequest {
             service: job.plan.service.as_str(),
             load: Load {
                 running: 1,
                 ..Load::default()
             },
             avoid: &avoid,
-            ..Want::default()
+            ..PlacementRequest::default()
         };
-        let Some(lease) = ctx.servers.place(ctx.now(), &want) else {
-            return job.end(ctx, tries.abandon(), "no_server", &UNANSWERED);
+        let Some(lease) = ctx.servers.place(ctx.now(), &request) else {
+            return job.answer_failure(ctx, history.abandon(), "no_server", &FAILURE_TEXTS);
         };
-        let left = job.left(ctx.now()).duration();
-        let sent = tokio::time::timeout(left, exchange(ctx, job, &lease)).await;
-        let (outcome, answer) = match sent {
+        let time_left = job.time_left(ctx.now()).duration();
+        let result = tokio::time::timeout(time_left, exchange(ctx, job, &lease)).await;
+        let (outcome, answer) = match result {
             Ok(Ok(answer)) if is_failure(&answer.head) => (Outcome::Failed, Some(answer)),
             Ok(Ok(answer)) => (Outcome::Answered, Some(answer)),
             Ok(Err(outcome)) => (outcome, None),
             Err(_) => {
                 ctx.metrics.sent(Outcome::TimedOut.into());
-                return job.end(ctx, Action::ReportUnknown, "timeout", &UNANSWERED);
+                return job.answer_failure(ctx, Action::ReportUnknown, "timeout", &FAILURE_TEXTS);
             }
         };
         let server = lease.id.clone();
         drop(lease);
-        let next = job.after(ctx, &mut tries, outcome).await;
-        tracing::debug!(id = %job.call.id, %server, %outcome, %next, "call");
-        match (next, answer) {
+        let action = job.next_action(ctx, &mut history, outcome).await;
+        tracing::debug!(id = %job.call.id, %server, %outcome, next = %action, "call");
+        match (action, answer) {
             (Action::Deliver, Some(answer)) => return deliver(ctx, job, answer, &server),
             (Action::Resend, _) => avoid.push(server),
-            (next, _) => return job.end(ctx, next, outcome.into(), &UNANSWERED),
+            (action, _) => return job.answer_failure(ctx, action, outcome.into(), &FAILURE_TEXTS),
         }
-        if outcome == Outcome::NotRun && !job.pause(ctx, &tries).await {
-            return job.end(ctx, tries.abandon(), outcome.into(), &UNANSWERED);
+        if outcome == Outcome::NotRun && !job.back_off(ctx, &history).await {
+            return job.answer_failure(ctx, history.abandon(), outcome.into(), &FAILURE_TEXTS);
         }
     }
 }
@@ -82,34 +82,34 @@
 }
 
 /// Sends the request and reads the whole answer.
-async fn exchange(ctx: &Arc<Context>, job: &Job, lease: &Lease) -> Result<Answer, Outcome> {
-    let opened = send::open(ctx, job, lease, &Extra::default()).await?;
-    let Opened {
+async fn exchange(ctx: &Arc<Context>, job: &Job, lease: &Lease) -> Result<FullAnswer, Outcome> {
+    let opened = send::send_request(ctx, job, lease, &StreamOptions::default()).await?;
+    let OpenResponse {
         response,
         head,
         link,
     } = opened;
     let (parts, body) = response.into_parts();
-    let whole = match Limited::new(body, MAX_ANSWER).collect().await {
-        Ok(whole) => whole.to_bytes(),
+    let body = match Limited::new(body, MAX_ANSWER_BYTES).collect().await {
+        Ok(body) => body.to_bytes(),
         Err(error) => {
             tracing::info!(id = %job.call.id, server = %lease.id, %error, "answer cut off");
             return Err(Outcome::Broken);
         }
     };
     if !head.closes {
-        ctx.servers.keep(&lease.id, link, ctx.now(), head.idle);
+        ctx.servers.keep_idle(&lease.id, link, ctx.now(), head.idle);
     }
-    Ok(Answer {
-        response: Response::from_parts(parts, whole),
+    Ok(FullAnswer {
+        response: Response::from_parts(parts, body),
         head,
     })
 }
 
 /// Passes a server's answer on.
-fn deliver(ctx: &Context, job: &Job, answer: Answer, server: &BackendId) -> Response<Body> {
+fn deliver(ctx: &Context, job: &Job, answer: FullAnswer, server: &BackendId) -> Response<Body> {
     let (parts, body) = answer.response.into_parts();
-    let mut response = Response::new(reply::whole(body));
+    let mut response = Response::new(reply::full(body));
     *response.status_mut() = parts.status;
     *response.headers_mut() = response::forward_headers(&parts.headers);
     job.ended(ctx, "answered", parts.status, Some(server));
--- a/crates/gooseberry-gateway/src/context.rs
+++ b/crates/gooseberry-gateway/src/context.rs
@@ -19,7 +19,7 @@
 
 /// How often a request that waits for a repeat looks whether there is one; half of the least time between
 /// two digests.
-const REPEAT_LOOK: Millis = Millis(50);
+const RETRY_POLL: Millis = Millis(50);
 
 /// The times that the users set.
 #[derive(Clone, Copy, Debug)]
@@ -52,7 +52,7 @@
     /// The times that the users set.
     pub limits: Limits,
     /// The budget of a service of which nothing was asked yet.
-    fresh: Budget,
+    initial_budget: Budget,
     budgets: Mutex<Sorted<ServiceName, Budget>>,
     /// When the process was told to stop, plus 1; 0 while it was not.
     stopping: AtomicU64,
@@ -77,7 +77,7 @@
             gossip: Mutex::new(gossip),
             wake_gossip: Notify::new(),
             limits,
-            fresh: budget,
+            initial_budget: budget,
             budgets: Mutex::default(),
             stopping: AtomicU64::new(0),
         }
@@ -89,21 +89,24 @@
     }
 
     /// Notes a request, which earns its service a part of a repeat.
-    pub fn earn(&self, job: &Job) {
+    pub fn record_request(&self, job: &Job) {
         let now = self.now();
         self.budget(job, |b| b.record_request(now));
     }
 
     /// Takes one repeat out of the budget of the request's service; waits for one if there is none left
     /// and the caller has time. Returns whether there was one.
-    pub async fn repeat(&self, job: &Job) -> bool {
-        let since = self.now();
-        let limit = SendHistory::retry_wait(since.since(job.since), job.until.since(job.since));
+    pub async fn acquire_retry(&self, job: &Job) -> bool {
+        let started = self.now();
+        let limit = SendHistory::retry_wait(
+            started.since(job.received),
+            job.deadline.since(job.received),
+        );
         let mut waiting = None;
         loop {
             let now = self.now();
-            let waited = now.since(since);
-            if self.spend(job, now) {
+            let waited = now.since(started);
+            if self.try_spend(job, now) {
                 if waiting.is_some() {
                     self.metrics.repeat_wait("repeated");
                     tracing::info!(
@@ -115,25 +118,26 @@
             }
             if waited >= limit {
                 self.metrics.repeat_wait("in_vain");
-                self.refused(job, now, waited);
+                self.log_denied_retry(job, now, waited);
                 return false;
             }
-            waiting.get_or_insert_with(|| Waiting::new(self, job));
+            waiting.get_or_insert_with(|| RetryWait::new(self, job));
             self.wake_gossip.notify_one();
-            self.timer.after(REPEAT_LOOK).await;
+            self.timer.after(RETRY_POLL).await;
         }
     }
 
     /// Takes one repeat out of the budget of the request's service, if there is one left.
-    fn spend(&self, job: &Job, now: Millis) -> bool {
-        let (is_left, is_urgent) = self.budget(job, |b| (b.try_spend(now), b.is_exchange_due(now)));
-        if is_urgent {
+    fn try_spend(&self, job: &Job, now: Millis) -> bool {
+        let (is_granted, is_exchange_due) =
+            self.budget(job, |b| (b.try_spend(now), b.is_exchange_due(now)));
+        if is_exchange_due {
             self.wake_gossip.notify_one();
         }
-        is_left
+        is_granted
     }
 
-    fn refused(&self, job: &Job, now: Millis, waited: Millis) {
+    fn log_denied_retry(&self, job: &Job, now: Millis, waited: Millis) {
         let (own, others) =
             self.budget(job, |b| ((b.requests(now)[0], b.retries(now)), *b.others()));
         tracing::info!(
@@ -173,24 +177,24 @@
 
     fn budget<T>(&self, job: &Job, work: impl FnOnce(&mut Budget) -> T) -> T {
         let mut budgets = self.budgets();
-        work(budgets.entry(job.plan.service.clone(), || self.fresh.clone()))
+        work(budgets.entry(job.plan.service.clone(), || self.initial_budget.clone()))
     }
 }
 
 /// Counts a request while it waits for a repeat.
-struct Waiting<'a> {
+struct RetryWait<'a> {
     ctx: &'a Context,
     job: &'a Job,
 }
 
-impl<'a> Waiting<'a> {
+impl<'a> RetryWait<'a> {
     fn new(ctx: &'a Context, job: &'a Job) -> Self {
         ctx.budget(job, Budget::begin_wait);
         Self { ctx, job }
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for RetryWait<'_> {
     fn drop(&mut self) {
         self.ctx.budget(self.job, Budget::end_wait);
     }
--- a/crates/gooseberry-gateway/src/fleet.rs
+++ b/crates/gooseberry-gateway/src/fleet.rs
@@ -17,13 +17,13 @@
 const MAX_IDLE: usize = 8;
 
 /// How long an idle connection is kept where the server does not say; the shortest seen is 5 s.
-const IDLE: Millis = Millis(3_000);
+const DEFAULT_IDLE: Millis = Millis(3_000);
 
 /// An idle connection is given up so long before the server closes it.
 const IDLE_MARGIN: Millis = Millis(700);
 
 /// How long another host's word that a server is gone counts.
-const DOUBT: Millis = Millis(1_000);
+const SUSPICION_TTL: Millis = Millis(1_000);
 
 /// What this host knows of one server besides its row.
 #[derive(Debug, Default)]
@@ -31,13 +31,13 @@
     load: Load,
     health: Health,
     /// When bytes last came from it.
-    heard: Millis,
+    last_activity: Millis,
     /// When it was last asked whether it is there.
-    asked: Millis,
+    last_probe: Millis,
     /// When it was last found to be gone.
-    lost: Option<Millis>,
+    last_failure: Option<Millis>,
     /// Until when another host's word that it is gone counts.
-    doubted: Millis,
+    suspected_until: Millis,
     /// Connections without a request, and until when they may be used.
     idle: Vec<(Link, Millis)>,
 }
@@ -69,7 +69,7 @@
 
 /// What is to be placed.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Want<'a> {
+pub struct PlacementRequest<'a> {
     /// The service.
     pub service: &'a str,
     /// What the request adds to the load of its server.
@@ -83,10 +83,10 @@
     /// A data centre whose servers are taken before others, if they have room.
     pub prefer_centre: Option<&'a str>,
     /// A hash of the prompt that is the same for each repeat of the request.
-    pub content: Option<u64>,
+    pub prompt_hash: Option<u64>,
 }
 
-impl Want<'_> {
+impl PlacementRequest<'_> {
     /// The memory that a generation needs, whose prompt is to be read.
     pub fn need(&self) -> Need {
         Need {
@@ -105,15 +105,20 @@
     }
 
     /// Chooses a server.
-    pub fn place(&self, now: Millis, want: &Want<'_>) -> Option<Lease> {
+    pub fn place(&self, now: Millis, request: &PlacementRequest<'_>) -> Option<Lease> {
         let mut fleet = self.lock();
-        let id = fleet.choose(now, want)?;
-        fleet.lease(self, id, want.load)
+        let id = fleet.choose(now, request)?;
+        fleet.lease(self, id, request.load)
     }
 
     /// At most `count` servers for a request, the best first by what this host knows; none is taken.
-    pub fn shortlist(&self, now: Millis, want: &Want<'_>, count: usize) -> Vec<BackendId> {
-        self.lock().shortlist(now, want, count)
+    pub fn shortlist(
+        &self,
+        now: Millis,
+        request: &PlacementRequest<'_>,
+        count: usize,
+    ) -> Vec<BackendId> {
+        self.lock().shortlist(now, request, count)
     }
 
     /// Tokens of prompts that this host has sent to a server and that have given no output yet.
@@ -123,7 +128,7 @@
     }
 
     /// Takes the server of that id, if it may be used.
-    pub fn take(&self, now: Millis, id: &BackendId, load: Load) -> Option<Lease> {
+    pub fn lease(&self, now: Millis, id: &BackendId, load: Load) -> Option<Lease> {
         let mut fleet = self.lock();
         if !fleet.roster.get(id)?.is_usable(now) {
             return None;
@@ -132,25 +137,25 @@
     }
 
     /// Bytes came from a server.
-    pub fn heard(&self, id: &BackendId, now: Millis) {
+    pub fn record_activity(&self, id: &BackendId, now: Millis) {
         if let Some(server) = self.lock().servers.get_mut(id) {
-            server.heard = now;
-            server.doubted = Millis(0);
+            server.last_activity = now;
+            server.suspected_until = Millis(0);
             server.health.record_answer();
         }
     }
 
     /// When bytes last came from a server.
-    pub fn last_heard(&self, id: &BackendId) -> Millis {
+    pub fn last_activity(&self, id: &BackendId) -> Millis {
         let fleet = self.lock();
-        fleet.servers.get(id).map_or(Millis(0), |s| s.heard)
+        fleet.servers.get(id).map_or(Millis(0), |s| s.last_activity)
     }
 
     /// A server is not reachable or fell silent.
-    pub fn lost(&self, id: &BackendId, now: Millis) {
+    pub fn record_unreachable(&self, id: &BackendId, now: Millis) {
         if let Some(server) = self.lock().servers.get_mut(id) {
             server.health.record_unreachable(now);
-            server.lost = Some(now);
+            server.last_failure = Some(now);
             server.idle.clear();
         }
     }
@@ -169,21 +174,21 @@
     }
 
     /// Whether the registry does not answer now.
-    pub fn is_away(&self) -> bool {
+    pub fn is_registry_unavailable(&self) -> bool {
         self.lock().roster.is_unavailable()
     }
 
     /// Whether a server has been there without a break since `since`, as far as is known.
-    pub fn is_sound(&self, id: &BackendId, since: Millis) -> bool {
+    pub fn is_up_since(&self, id: &BackendId, since: Millis) -> bool {
         let fleet = self.lock();
         let is_listed = fleet.roster.get(id).is_some_and(|m| !m.is_replaced);
-        let lost = fleet.servers.get(id).and_then(|s| s.lost);
-        is_listed && lost.is_none_or(|at| at < since)
+        let failure = fleet.servers.get(id).and_then(|s| s.last_failure);
+        is_listed && failure.is_none_or(|at| at < since)
     }
 
     /// At most `limit` servers of the same service and data centre as `id` that are believed to be
     /// there but were neither heard nor asked within `recent`; they count as asked now.
-    pub fn neighbours(
+    pub fn neighbours_to_probe(
         &self,
         id: &BackendId,
         now: Millis,
@@ -192,20 +197,21 @@
     ) -> Vec<(BackendId, SocketAddr)> {
         let mut guard = self.lock();
         let fleet = &mut *guard;
-        let Some(lost) = fleet.roster.get(id).map(|m| m.entry.clone()) else {
+        let Some(failed) = fleet.roster.get(id).map(|m| m.entry.clone()) else {
             return Vec::new();
         };
         let mut found = Vec::new();
         for (id, member) in fleet.roster.iter() {
             let entry = &member.entry;
-            let is_neighbour = entry.service == lost.service && entry.centre == lost.centre;
+            let is_neighbour = entry.service == failed.service && entry.centre == failed.centre;
             if !is_neighbour || !member.is_usable(now) || found.len() == limit {
                 continue;
             }
             let server = fleet.servers.entry(id.clone(), Server::default);
-            let is_known = now.since(server.heard.max(server.asked)) < recent && now > recent;
-            if !is_known && !server.health.is_ejected(now) {
-                server.asked = now;
+            let is_recent =
+                now.since(server.last_activity.max(server.last_probe)) < recent && now > recent;
+            if !is_recent && !server.health.is_ejected(now) {
+                server.last_probe = now;
                 found.push((id.clone(), entry.addr));
             }
         }
@@ -213,22 +219,22 @@
     }
 
     /// Another host found a server to be gone at `at`; counts unless it was heard since.
-    pub fn doubt(&self, server: u32, at: Millis, now: Millis) {
+    pub fn suspect(&self, server_hash: u32, at: Millis, now: Millis) {
         let mut guard = self.lock();
         let fleet = &mut *guard;
-        let named = fleet
+        let found = fleet
             .roster
             .iter()
-            .find(|(id, _)| short(id.as_str()) == server);
-        let Some((id, _)) = named else { return };
-        let held = fleet.servers.entry(id.clone(), Server::default);
-        if held.heard < at {
-            held.doubted = now + DOUBT;
+            .find(|(id, _)| short(id.as_str()) == server_hash);
+        let Some((id, _)) = found else { return };
+        let server_state = fleet.servers.entry(id.clone(), Server::default);
+        if server_state.last_activity < at {
+            server_state.suspected_until = now + SUSPICION_TTL;
         }
     }
 
     /// An idle connection to a server, if there is a usable one.
-    pub fn idle(&self, id: &BackendId, now: Millis) -> Option<Link> {
+    pub fn take_idle(&self, id: &BackendId, now: Millis) -> Option<Link> {
         let mut fleet = self.lock();
         let server = fleet.servers.get_mut(id)?;
         server
@@ -238,8 +244,8 @@
     }
 
     /// Keeps a connection for a later request; `limit` is how long the server leaves it open.
-    pub fn keep(&self, id: &BackendId, link: Link, now: Millis, limit: Option<Millis>) {
-        let until = now + limit.map_or(IDLE, |l| l - IDLE_MARGIN);
+    pub fn keep_idle(&self, id: &BackendId, link: Link, now: Millis, timeout: Option<Millis>) {
+        let until = now + timeout.map_or(DEFAULT_IDLE, |t| t - IDLE_MARGIN);
         let mut fleet = self.lock();
         if let Some(server) = fleet.servers.get_mut(id)
             && server.idle.len() < MAX_IDLE
@@ -256,16 +262,21 @@
 }
 
 impl Fleet {
-    fn choose(&self, now: Millis, want: &Want<'_>) -> Option<BackendId> {
-        self.candidates(now, want, |candidates, wish| {
-            place(candidates, wish).into_iter().collect()
+    fn choose(&self, now: Millis, request: &PlacementRequest<'_>) -> Option<BackendId> {
+        self.candidates(now, request, |candidates, criteria| {
+            place(candidates, criteria).into_iter().collect()
         })
         .pop()
     }
 
-    fn shortlist(&self, now: Millis, want: &Want<'_>, count: usize) -> Vec<BackendId> {
-        self.candidates(now, want, |candidates, wish| {
-            shortlist(candidates, wish, count)
+    fn shortlist(
+        &self,
+        now: Millis,
+        request: &PlacementRequest<'_>,
+        count: usize,
+    ) -> Vec<BackendId> {
+        self.candidates(now, request, |candidates, criteria| {
+            shortlist(candidates, criteria, count)
         })
     }
 
@@ -273,29 +284,29 @@
     fn candidates(
         &self,
         now: Millis,
-        want: &Want<'_>,
+        request: &PlacementRequest<'_>,
         pick: impl Fn(&[Candidate<'_>], &PlaceRequest<'_>) -> Vec<usize>,
     ) -> Vec<BackendId> {
         let members: Vec<(&BackendId, &Entry)> = self
             .roster
             .iter()
-            .filter(|(_, m)| m.entry.service.as_str() == want.service && m.is_usable(now))
+            .filter(|(_, m)| m.entry.service.as_str() == request.service && m.is_usable(now))
             .map(|(id, m)| (id, &m.entry))
             .collect();
         let candidates: Vec<Candidate<'_>> = members
             .iter()
-            .map(|(id, entry)| self.candidate(now, id, entry, want.capacity))
+            .map(|(id, entry)| self.candidate(now, id, entry, request.capacity))
             .collect();
-        let avoid: Vec<&str> = want.avoid.iter().map(BackendId::as_str).collect();
-        let wish = PlaceRequest {
-            memory: want.load.memory + want.load.backups,
+        let avoid: Vec<&str> = request.avoid.iter().map(BackendId::as_str).collect();
+        let criteria = PlaceRequest {
+            memory: request.load.memory + request.load.backups,
             avoid: &avoid,
-            avoid_centre: want.avoid_centre,
-            prefer_centre: want.prefer_centre,
+            avoid_centre: request.avoid_centre,
+            prefer_centre: request.prefer_centre,
             seed: rand::random(),
-            prompt_hash: want.content,
+            prompt_hash: request.prompt_hash,
         };
-        let chosen = pick(&candidates, &wish);
+        let chosen = pick(&candidates, &criteria);
         chosen.into_iter().map(|i| members[i].0.clone()).collect()
     }
 
@@ -311,7 +322,7 @@
             server: id.as_str(),
             data_centre: entry.centre.as_str(),
             is_ejected: server.is_some_and(|s| s.health.is_ejected(now)),
-            is_suspected: server.is_some_and(|s| now < s.doubted),
+            is_suspected: server.is_some_and(|s| now < s.suspected_until),
             load: server.map_or(Load::default(), |s| s.load),
             capacity,
         }
@@ -342,7 +353,7 @@
     }
 
     /// A server started anew: what is known of the one before no longer holds.
-    pub fn restarted(&mut self, id: &BackendId) {
+    pub fn record_restart(&mut self, id: &BackendId) {
         if let Some(server) = self.servers.get_mut(id) {
             server.idle.clear();
             server.health = Health::default();
@@ -352,12 +363,12 @@
 
 impl Lease {
     /// The first output came: the prompt has been read.
-    pub fn started(&mut self) {
-        let read = Load {
+    pub fn record_first_output(&mut self) {
+        let prefill = Load {
             prefill: std::mem::take(&mut self.load.prefill),
             ..Load::default()
         };
-        self.servers.release(&self.id, read);
+        self.servers.release(&self.id, prefill);
     }
 }
 
--- a/crates/gooseberry-gateway/src/gossip.rs
+++ b/crates/gooseberry-gateway/src/gossip.rs
@@ -129,7 +129,7 @@
     let heard = ctx.gossip().receive(now, from, &message);
     for lost in &heard.failed {
         let at = now - Millis(u64::from(lost.age));
-        ctx.servers.doubt(lost.server, at, now);
+        ctx.servers.suspect(lost.server, at, now);
     }
     if heard.answers_digest {
         exchange(ctx, now);
--- a/crates/gooseberry-gateway/src/lib.rs
+++ b/crates/gooseberry-gateway/src/lib.rs
@@ -3,9 +3,9 @@
 //! Takes callers' requests, runs each on a backend server and passes the answer on. The decisions are
 //! in `routing`, `relay`, `balance` and `membership`; the names on the wire are in `platform`.
 
+pub mod backups;
 pub mod calls;
 pub mod context;
-pub mod copies;
 pub mod feed;
 pub mod fleet;
 pub mod gossip;
@@ -13,7 +13,7 @@
 pub mod link;
 pub mod liveness;
 pub mod metrics;
-pub mod probe;
+pub mod polling;
 pub mod reply;
 pub mod run;
 pub mod send;
--- a/crates/gooseberry-gateway/src/link.rs
+++ b/crates/gooseberry-gateway/src/link.rs
@@ -15,7 +15,7 @@
 use tokio::task::AbortHandle;
 
 /// The silence after which the kernel asks whether the peer is still there; the least it offers.
-const KEEPALIVE: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How long written bytes may stay unacknowledged.
 const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
@@ -44,8 +44,8 @@
     /// # Errors
     ///
     /// The system's error, or `TimedOut` after `limit`.
-    pub async fn open(addr: SocketAddr, limit: Millis) -> io::Result<Self> {
-        let stream = tokio::time::timeout(limit.duration(), TcpStream::connect(addr))
+    pub async fn open(addr: SocketAddr, timeout: Millis) -> io::Result<Self> {
+        let stream = tokio::time::timeout(timeout.duration(), TcpStream::connect(addr))
             .await
             .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
         tune(&stream, Some(USER_TIMEOUT));
@@ -115,16 +115,16 @@
 
 /// Sets the options by which a silent peer is noticed; `limit` is how long written bytes may stay
 /// unacknowledged, where that is to be shorter than the system's own limit.
-pub fn tune(stream: &TcpStream, limit: Option<Duration>) {
+pub fn tune(stream: &TcpStream, user_timeout: Option<Duration>) {
     let probes = TcpKeepalive::new()
-        .with_time(KEEPALIVE)
-        .with_interval(KEEPALIVE)
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
         .with_retries(2);
     let socket = SockRef::from(stream);
     let results = [
         stream.set_nodelay(true),
         socket.set_tcp_keepalive(&probes),
-        limit.map_or(Ok(()), |l| socket.set_tcp_user_timeout(Some(l))),
+        user_timeout.map_or(Ok(()), |t| socket.set_tcp_user_timeout(Some(t))),
     ];
     for error in results.into_iter().filter_map(Result::err) {
         tracing::warn!(%error, "a socket option is not available; losses are noticed later");
--- a/crates/gooseberry-gateway/src/probe.rs
+++ b/crates/gooseberry-gateway/src/polling.rs
@@ -11,51 +11,53 @@
 use platform::report::{self, Report};
 
 use crate::context::Context;
-use crate::fleet::{Lease, Want};
+use crate::fleet::{Lease, PlacementRequest};
 use crate::link::Link;
 use crate::{liveness, send};
 
 /// The servers that are asked at once for one placement.
-const ASKED: usize = 3;
+const POLL_SIZE: usize = 3;
 
 /// How often others are asked while none has room.
-const ROUNDS: usize = 3;
+const MAX_ROUNDS: usize = 3;
 
 /// How long an engine may take to answer; within a region it takes a few milliseconds.
-const LIMIT: Millis = Millis(60);
+const POLL_TIMEOUT: Millis = Millis(60);
 
 /// Chooses a server for a prompt: asks a few, and takes the one where the fewest prompts wait.
-pub async fn place(ctx: &Arc<Context>, want: &Want<'_>) -> Option<Lease> {
-    let ids = ctx.servers.shortlist(ctx.now(), want, ASKED * ROUNDS);
+pub async fn place(ctx: &Arc<Context>, request: &PlacementRequest<'_>) -> Option<Lease> {
+    let ids = ctx
+        .servers
+        .shortlist(ctx.now(), request, POLL_SIZE * MAX_ROUNDS);
     if ids.len() < 2 {
-        return ctx.servers.place(ctx.now(), want);
+        return ctx.servers.place(ctx.now(), request);
     }
-    let need = want.need();
-    let mut told = Vec::with_capacity(ids.len());
-    for round in ids.chunks(ASKED) {
-        told.extend(join_all(round.iter().map(|id| ask(ctx, id, want.load.prefill))).await);
-        if need.fits_any(&told) {
+    let need = request.need();
+    let mut reports = Vec::with_capacity(ids.len());
+    for round in ids.chunks(POLL_SIZE) {
+        reports.extend(join_all(round.iter().map(|id| poll(ctx, id, request.load.prefill))).await);
+        if need.fits_any(&reports) {
             break;
         }
     }
-    let chosen = best_report(&told, &need)?;
-    tracing::debug!(server = %ids[chosen], ?told, "engines asked");
-    let lease = ctx.servers.take(ctx.now(), &ids[chosen], want.load);
-    lease.or_else(|| ctx.servers.place(ctx.now(), want))
+    let chosen = best_report(&reports, &need)?;
+    tracing::debug!(server = %ids[chosen], told = ?reports, "engines asked");
+    let lease = ctx.servers.lease(ctx.now(), &ids[chosen], request.load);
+    lease.or_else(|| ctx.servers.place(ctx.now(), request))
 }
 
 /// Asks one server; `None` if it does not answer.
-async fn ask(ctx: &Arc<Context>, id: &BackendId, prompt: u64) -> Option<LoadReport> {
-    let work = exchange(ctx, id);
-    let report = match tokio::time::timeout(LIMIT.duration(), work).await {
+async fn poll(ctx: &Arc<Context>, id: &BackendId, prompt_tokens: u64) -> Option<LoadReport> {
+    let exchange = exchange(ctx, id);
+    let report = match tokio::time::timeout(POLL_TIMEOUT.duration(), exchange).await {
         Ok(report) => report?,
         Err(_) => {
-            liveness::check(ctx, id);
+            liveness::spawn_check(ctx, id);
             return None;
         }
     };
     // A report is some hundred milliseconds old; this host's own prompts may not be in it.
-    let own = ctx.servers.prefill(id).div_ceil(prompt.max(1));
+    let own = ctx.servers.prefill(id).div_ceil(prompt_tokens.max(1));
     Some(LoadReport {
         waiting: report.queued.max(own),
         running: report.running,
@@ -65,27 +67,27 @@
 
 async fn exchange(ctx: &Arc<Context>, id: &BackendId) -> Option<Report> {
     let addr = ctx.servers.addr(id)?;
-    let mut link = match send::link(ctx, id, addr, LIMIT, "report").await {
+    let mut link = match send::connect(ctx, id, addr, POLL_TIMEOUT, "report").await {
         Ok(link) => link,
         Err(error) if error.kind() == std::io::ErrorKind::TimedOut => {
-            liveness::check(ctx, id);
+            liveness::spawn_check(ctx, id);
             return None;
         }
         Err(error) => {
             tracing::info!(server = %id, %error, "server not reachable");
-            liveness::lost(ctx, id);
+            liveness::handle_failure(ctx, id);
             return None;
         }
     };
-    let report = report(&mut link).await?;
+    let report = fetch_report(&mut link).await?;
     let now = ctx.now();
-    ctx.servers.heard(id, now);
-    ctx.servers.keep(id, link, now, None);
+    ctx.servers.record_activity(id, now);
+    ctx.servers.keep_idle(id, link, now, None);
     Some(report)
 }
 
 /// Asks a server for its report; `None` if it is no engine.
-pub async fn report(link: &mut Link) -> Option<Report> {
+pub async fn fetch_report(link: &mut Link) -> Option<Report> {
     let mut request = Request::new(Full::new(Bytes::new()));
     *request.uri_mut() = Uri::from_static(report::PATH);
     let (status, body) = link.fetch(request).await.ok()?;
--- a/crates/gooseberry-gateway/src/reply.rs
+++ b/crates/gooseberry-gateway/src/reply.rs
@@ -9,12 +9,12 @@
 use thiserror::Error;
 
 /// A response body: whole, or a stream of events.
-pub type Body = UnsyncBoxBody<Bytes, Cut>;
+pub type Body = UnsyncBoxBody<Bytes, StreamCut>;
 
 /// Why a body ends before its end; the caller sees a broken connection.
 #[derive(Clone, Copy, Debug, Error)]
 #[error("the stream could not be continued; ask again with the last event's id")]
-pub struct Cut;
+pub struct StreamCut;
 
 /// The body of an error.
 #[derive(Debug, Serialize)]
@@ -26,7 +26,7 @@
 }
 
 /// A body that is sent whole.
-pub fn whole(bytes: impl Into<Bytes>) -> Body {
+pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into())
         .map_err(|never| match never {})
         .boxed_unsync()
@@ -38,9 +38,9 @@
 }
 
 /// A refusal: the request has not run and never will.
-pub fn refused(kind: &str, message: &str, after_ms: u64) -> Response<Body> {
+pub fn refused(kind: &str, message: &str, retry_ms: u64) -> Response<Body> {
     let mut response = error(StatusCode::SERVICE_UNAVAILABLE, kind, message, "not_run");
-    let seconds = format!("{}.{:03}", after_ms / 1_000, after_ms % 1_000);
+    let seconds = format!("{}.{:03}", retry_ms / 1_000, retry_ms % 1_000);
     if let Ok(value) = HeaderValue::from_str(&seconds) {
         response.headers_mut().insert(RETRY_AFTER, value);
     }
@@ -48,14 +48,14 @@
 }
 
 /// A failure after which it is not known whether the request has run.
-pub fn unknown(status: StatusCode, kind: &str, message: &str) -> Response<Body> {
+pub fn outcome_unknown(status: StatusCode, kind: &str, message: &str) -> Response<Body> {
     error(status, kind, message, "unknown")
 }
 
 fn error(status: StatusCode, kind: &str, message: &str, ran: &str) -> Response<Body> {
     let body = ErrorBody { kind, message, ran };
     let text = serde_json::to_vec(&body).unwrap_or_else(|_| message.as_bytes().to_vec());
-    let mut response = Response::new(whole(text));
+    let mut response = Response::new(full(text));
     *response.status_mut() = status;
     let json = HeaderValue::from_static("application/json");
     response.headers_mut().insert(CONTENT_TYPE, json);
--- a/crates/gooseberry-gateway/src/run.rs
+++ b/crates/gooseberry-gateway/src/run.rs
@@ -159,7 +159,7 @@
     tasks.spawn(answer(Arc::clone(&ctx), ready, readiness));
     let text = move |ctx: &Context| {
         ctx.metrics.dropped_lines.set(dropped_lines());
-        Response::new(reply::whole(ctx.metrics.text()))
+        Response::new(reply::full(ctx.metrics.text()))
     };
     tasks.spawn(answer(Arc::clone(&ctx), metrics, text));
     let store = store();
@@ -242,7 +242,7 @@
 /// Whether the host takes connections.
 fn readiness(ctx: &Context) -> Response<Body> {
     let is_ready = ctx.is_ready();
-    let mut response = Response::new(reply::whole(if is_ready { "ready" } else { "not ready" }));
+    let mut response = Response::new(reply::full(if is_ready { "ready" } else { "not ready" }));
     if !is_ready {
         *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
     }
--- a/crates/gooseberry-gateway/src/send.rs
+++ b/crates/gooseberry-gateway/src/send.rs
@@ -22,7 +22,7 @@
 use crate::reply::{self, Body};
 
 /// The longest wait for a new connection; within a data centre it takes a few milliseconds.
-const CONNECT: Millis = Millis(250);
+const CONNECT_TIMEOUT: Millis = Millis(250);
 
 /// A caller's request, read whole.
 #[derive(Debug)]
@@ -40,27 +40,27 @@
     /// The body.
     pub body: Bytes,
     /// When the request came.
-    pub since: Millis,
+    pub received: Millis,
     /// When its answer is of no more use.
-    pub until: Millis,
+    pub deadline: Millis,
     /// Counts the request while its answer is not whole.
     pub guard: InFlight,
 }
 
 /// What a stream adds to a send.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Extra<'a> {
+pub struct StreamOptions<'a> {
     /// The last event that the caller holds.
     pub last_event: Option<u64>,
     /// Where the run's memory is to be copied.
-    pub copy_to: Option<SocketAddr>,
+    pub backup_to: Option<SocketAddr>,
     /// Where a copy of an earlier run's memory lies.
-    pub copy: Option<&'a KvBackup>,
+    pub backup: Option<&'a KvBackup>,
 }
 
 /// The head of an answer that belongs to the request, and what it says.
 #[derive(Debug)]
-pub struct Opened {
+pub struct OpenResponse {
     /// The answer; its body is not read yet.
     pub response: Response<Incoming>,
     /// What its head says.
@@ -71,26 +71,31 @@
 
 impl Job {
     /// The time that is left for the caller.
-    pub fn left(&self, now: Millis) -> Millis {
-        self.until.since(now)
+    pub fn time_left(&self, now: Millis) -> Millis {
+        self.deadline.since(now)
     }
 
     /// What is to be done after a send that ended with `outcome`; waits for a repeat if one is needed.
-    pub async fn after(&self, ctx: &Context, tries: &mut SendHistory, outcome: Outcome) -> Action {
+    pub async fn next_action(
+        &self,
+        ctx: &Context,
+        history: &mut SendHistory,
+        outcome: Outcome,
+    ) -> Action {
         let route = &self.plan.route;
-        match tries.record(outcome, route.kind, route.attempts) {
-            Action::Retry if ctx.repeat(self).await => Action::Resend,
-            Action::Retry => tries.without_retry(outcome),
-            next => next,
+        match history.record(outcome, route.kind, route.attempts) {
+            Action::Retry if ctx.acquire_retry(self).await => Action::Resend,
+            Action::Retry => history.without_retry(outcome),
+            action => action,
         }
     }
 
     /// Waits before the request is sent again after a rejection; returns whether there is time.
-    pub async fn pause(&self, ctx: &Context, tries: &SendHistory) -> bool {
-        let age = ctx.now().since(self.since);
-        match tries.backoff(age, self.until.since(self.since)) {
-            Some(pause) => {
-                ctx.timer.after(pause).await;
+    pub async fn back_off(&self, ctx: &Context, history: &SendHistory) -> bool {
+        let age = ctx.now().since(self.received);
+        match history.backoff(age, self.deadline.since(self.received)) {
+            Some(backoff) => {
+                ctx.timer.after(backoff).await;
                 true
             }
             None => false,
@@ -98,7 +103,12 @@
     }
 
     /// The request for one server.
-    fn request(&self, now: Millis, lease: &Lease, extra: &Extra<'_>) -> Request<Full<Bytes>> {
+    fn build_request(
+        &self,
+        now: Millis,
+        lease: &Lease,
+        options: &StreamOptions<'_>,
+    ) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
@@ -106,10 +116,10 @@
         let attempt = AttemptHeaders {
             server: lease.id.as_str(),
             workspace: self.plan.workspace.as_ref().map(|w| w.name.as_str()),
-            time_left: self.left(now),
-            last_event: extra.last_event,
-            backup_to: extra.copy_to,
-            backup: extra.copy,
+            time_left: self.time_left(now),
+            last_event: options.last_event,
+            backup_to: options.backup_to,
+            backup: options.backup,
         };
         request::encode(&mut headers, &self.call.id, &attempt);
         *request.headers_mut() = headers;
@@ -122,13 +132,13 @@
 /// # Errors
 ///
 /// The outcome, if there is no answer that belongs to the request and comes from a server that ran it.
-pub async fn open(
+pub async fn send_request(
     ctx: &Arc<Context>,
     job: &Job,
     lease: &Lease,
-    extra: &Extra<'_>,
-) -> Result<Opened, Outcome> {
-    let result = opened(ctx, job, lease, extra).await;
+    options: &StreamOptions<'_>,
+) -> Result<OpenResponse, Outcome> {
+    let result = exchange_heads(ctx, job, lease, options).await;
     let cause: &'static str = match &result {
         Ok(_) => "answered",
         Err(outcome) => (*outcome).into(),
@@ -136,30 +146,30 @@
     ctx.metrics.sent(cause);
     if let Err(outcome) = &result {
         tracing::info!(
-            id = %job.call.id, server = %lease.id, %outcome, age_ms = ctx.now().since(job.since).0,
-            left_ms = job.left(ctx.now()).0, version = job.plan.version.0, "send failed"
+            id = %job.call.id, server = %lease.id, %outcome, age_ms = ctx.now().since(job.received).0,
+            left_ms = job.time_left(ctx.now()).0, version = job.plan.version.0, "send failed"
         );
     }
     result
 }
 
-async fn opened(
+async fn exchange_heads(
     ctx: &Arc<Context>,
     job: &Job,
     lease: &Lease,
-    extra: &Extra<'_>,
-) -> Result<Opened, Outcome> {
-    let mut link = connect(ctx, lease).await?;
-    let request = job.request(ctx.now(), lease, extra);
+    options: &StreamOptions<'_>,
+) -> Result<OpenResponse, Outcome> {
+    let mut link = connect_leased(ctx, lease).await?;
+    let request = job.build_request(ctx.now(), lease, options);
     let response = match link.send(request).await {
         Ok(response) => response,
         Err(SendError::Unsent) => return Err(Outcome::Unsent),
         Err(SendError::Broken(_)) => {
-            liveness::lost(ctx, &lease.id);
+            liveness::handle_failure(ctx, &lease.id);
             return Err(Outcome::Broken);
         }
     };
-    ctx.servers.heard(&lease.id, ctx.now());
+    ctx.servers.record_activity(&lease.id, ctx.now());
     let (parts, body) = response.into_parts();
     let head = response::decode(&parts, &job.call.id);
     if head.is_foreign || head.is_encoded {
@@ -179,7 +189,7 @@
         return Err(Outcome::Broken);
     }
     let response = Response::from_parts(parts, body);
-    Ok(Opened {
+    Ok(OpenResponse {
         response,
         head,
         link,
@@ -187,11 +197,11 @@
 }
 
 /// A connection for a send; a server that cannot be reached is left out.
-async fn connect(ctx: &Arc<Context>, lease: &Lease) -> Result<Link, Outcome> {
-    match link(ctx, &lease.id, lease.addr, CONNECT, "request").await {
+async fn connect_leased(ctx: &Arc<Context>, lease: &Lease) -> Result<Link, Outcome> {
+    match connect(ctx, &lease.id, lease.addr, CONNECT_TIMEOUT, "request").await {
         Ok(link) => Ok(link),
         Err(error) => {
-            liveness::lost(ctx, &lease.id);
+            liveness::handle_failure(ctx, &lease.id);
             tracing::info!(server = %lease.id, addr = %lease.addr, %error, "server not reachable");
             Err(Outcome::Unsent)
         }
@@ -203,27 +213,27 @@
 /// # Errors
 ///
 /// The system's error, or `TimedOut` after `limit`.
-pub async fn link(
+pub async fn connect(
     ctx: &Context,
     id: &BackendId,
     addr: SocketAddr,
-    limit: Millis,
+    timeout: Millis,
     cause: &'static str,
 ) -> io::Result<Link> {
-    if let Some(link) = ctx.servers.idle(id, ctx.now()) {
+    if let Some(link) = ctx.servers.take_idle(id, ctx.now()) {
         return Ok(link);
     }
     ctx.metrics.connected(cause);
-    Link::open(addr, limit).await
+    Link::open(addr, timeout).await
 }
 
 /// What a caller is told whose request no server answered.
 #[derive(Clone, Copy, Debug)]
-pub struct Unanswered {
+pub struct FailureTexts {
     /// If it has not run.
-    pub refused: &'static str,
+    pub not_run: &'static str,
     /// When the caller may come back then, in milliseconds.
-    pub after_ms: u64,
+    pub retry_ms: u64,
     /// If time ran out.
     pub timeout: &'static str,
     /// If its server was lost.
@@ -232,19 +242,19 @@
 
 impl Job {
     /// Answers a request that no server answered.
-    pub fn end(
+    pub fn answer_failure(
         &self,
         ctx: &Context,
-        next: Action,
+        action: Action,
         cause: &'static str,
-        told: &Unanswered,
+        texts: &FailureTexts,
     ) -> Response<Body> {
-        let response = match next {
-            Action::Refuse => reply::refused("no_capacity", told.refused, told.after_ms),
+        let response = match action {
+            Action::Refuse => reply::refused("no_capacity", texts.not_run, texts.retry_ms),
             _ if cause == "timeout" => {
-                reply::unknown(StatusCode::GATEWAY_TIMEOUT, "timeout", told.timeout)
+                reply::outcome_unknown(StatusCode::GATEWAY_TIMEOUT, "timeout", texts.timeout)
             }
-            _ => reply::unknown(StatusCode::BAD_GATEWAY, "lost", told.lost),
+            _ => reply::outcome_unknown(StatusCode::BAD_GATEWAY, "lost", texts.lost),
         };
         self.ended(ctx, cause, response.status(), None);
         response
--- a/crates/gooseberry-gateway/src/serve.rs
+++ b/crates/gooseberry-gateway/src/serve.rs
@@ -100,8 +100,8 @@
                     let timeout = plan.route.timeout;
                     let patience = call.time_limit.unwrap_or(timeout).min(timeout);
                     let job = Job {
-                        until: since + patience,
-                        since,
+                        deadline: since + patience,
+                        received: since,
                         call,
                         plan,
                         method: head.method,
@@ -110,7 +110,7 @@
                         body: whole.to_bytes(),
                         guard,
                     };
-                    ctx.earn(&job);
+                    ctx.record_request(&job);
                     run(&ctx, job).await
                 }
             }
@@ -270,7 +270,7 @@
         status: StatusCode,
         server: Option<&BackendId>,
     ) {
-        let took = ctx.now().since(self.since);
+        let took = ctx.now().since(self.received);
         let kind: &'static str = self.plan.route.kind.into();
         tracing::info!(
             id = %self.call.id, route = %self.plan.route.name, kind, version = self.plan.version.0,
--- a/crates/gooseberry-gateway/src/streams.rs
+++ b/crates/gooseberry-gateway/src/streams.rs
@@ -15,148 +15,152 @@
 use relay::{Action, Event, EventAction, Outcome, Progress, SendHistory, Splitter};
 use routing::Kind;
 
+use crate::backups::{self, Backup, BackupTask, KvDemand};
 use crate::context::Context;
-use crate::copies::{self, Held, Keeper, Memory};
-use crate::fleet::{Lease, Want};
+use crate::fleet::{Lease, PlacementRequest};
 use crate::link::Link;
 use crate::liveness;
 use crate::metrics::Cause;
-use crate::probe;
-use crate::reply::{Body, Cut};
-use crate::send::{self, Extra, Job, Opened, Unanswered};
+use crate::polling;
+use crate::reply::{Body, StreamCut};
+use crate::send::{self, FailureTexts, Job, OpenResponse, StreamOptions};
 
 /// What a caller is told whose stream gave no event.
-const UNANSWERED: Unanswered = Unanswered {
-    refused: "no backend server could take the stream; it has not run, come back later",
-    after_ms: 500,
+const FAILURE_TEXTS: FailureTexts = FailureTexts {
+    not_run: "no backend server could take the stream; it has not run, come back later",
+    retry_ms: 500,
     timeout: "no event came within the time limit; ask again",
     lost: "the stream was lost before its first event; ask again",
 };
 
 /// The silence between events after which a server is asked whether it is there.
-const ASK_AFTER: Millis = Millis(300);
+const PROBE_IDLE: Millis = Millis(300);
 
 /// How long a server of a silent stream may take to accept a connection.
-const ASK_LIMIT: Millis = Millis(150);
+const PROBE_TIMEOUT: Millis = Millis(150);
 
 /// The silence between events that is taken as a loss although the server is there: at least the
 /// first, at most the second.
-const SILENCE_MS: (u64, u64) = (1_000, 1_500);
+const STALL_RANGE_MS: (u64, u64) = (1_000, 1_500);
 
 /// A run of the stream at one server.
-struct Run {
+struct Attempt {
     body: Incoming,
     splitter: Splitter,
     link: Link,
     head: Head,
     lease: Lease,
-    keeper: Option<Keeper>,
+    backup_task: Option<BackupTask>,
 }
 
 /// A stream on its way to the caller.
-struct Flow {
+struct StreamState {
     ctx: Arc<Context>,
     job: Arc<Job>,
-    memory: Memory,
-    tries: SendHistory,
+    kv: KvDemand,
+    history: SendHistory,
     avoid: Vec<BackendId>,
     progress: Progress,
-    run: Option<Run>,
+    attempt: Option<Attempt>,
     /// The first event, read before the head of the answer was passed on.
-    first: Option<Event>,
+    first_event: Option<Event>,
     /// The copy of the memory of the run that was lost last.
-    spare: Option<Held>,
+    backup: Option<Backup>,
 }
 
 /// Why a run gives no more events.
-enum End {
+enum AttemptEnd {
     /// The answer is whole.
-    Whole,
+    Complete,
     /// The run is lost.
-    Lost(Outcome),
+    Failed(Outcome),
 }
 
 /// Runs a stream and answers its caller once its first event has come.
 pub async fn run(ctx: Arc<Context>, job: Arc<Job>) -> Response<Body> {
-    let mut flow = Flow::new(ctx, job);
+    let mut state = StreamState::new(ctx, job);
     loop {
-        let outcome = match flow.begin().await {
-            Ok(headers) => return flow.answer(headers),
+        let outcome = match state.start_attempt().await {
+            Ok(headers) => return state.into_response(headers),
             Err(Some(outcome)) => outcome,
-            Err(None) => return flow.end(flow.tries.abandon(), "no_server"),
+            Err(None) => return state.answer_failure(state.history.abandon(), "no_server"),
         };
-        if outcome == Outcome::TimedOut && flow.job.left(flow.ctx.now()) == Millis(0) {
-            return flow.end(Action::ReportUnknown, "timeout");
+        if outcome == Outcome::TimedOut && state.job.time_left(state.ctx.now()) == Millis(0) {
+            return state.answer_failure(Action::ReportUnknown, "timeout");
         }
-        match flow.next(outcome).await {
+        match state.next_action(outcome).await {
             Action::Resend => {}
-            next => return flow.end(next, outcome.into()),
+            action => return state.answer_failure(action, outcome.into()),
         }
-        if outcome == Outcome::NotRun && !flow.job.pause(&flow.ctx, &flow.tries).await {
-            return flow.end(flow.tries.abandon(), outcome.into());
+        if outcome == Outcome::NotRun && !state.job.back_off(&state.ctx, &state.history).await {
+            return state.answer_failure(state.history.abandon(), outcome.into());
         }
     }
 }
 
-impl Flow {
+impl StreamState {
     fn new(ctx: Arc<Context>, job: Arc<Job>) -> Self {
         let policy = Policy {
-            floor_ms: SILENCE_MS.0,
-            ceiling_ms: SILENCE_MS.1,
+            floor_ms: STALL_RANGE_MS.0,
+            ceiling_ms: STALL_RANGE_MS.1,
             ..Policy::default()
         };
         let progress = Progress::new(ctx.now(), job.call.last_event, policy);
         Self {
-            memory: memory(&ctx, &job),
+            kv: kv_demand(&ctx, &job),
             ctx,
             job,
-            tries: SendHistory::default(),
+            history: SendHistory::default(),
             avoid: Vec::new(),
             progress,
-            run: None,
-            first: None,
-            spare: None,
+            attempt: None,
+            first_event: None,
+            backup: None,
         }
     }
 
     /// What is to be done after a send that failed.
-    async fn next(&mut self, outcome: Outcome) -> Action {
-        self.job.after(&self.ctx, &mut self.tries, outcome).await
+    async fn next_action(&mut self, outcome: Outcome) -> Action {
+        self.job
+            .next_action(&self.ctx, &mut self.history, outcome)
+            .await
     }
 
     /// Starts a run at some server and waits for its first event.
     ///
     /// A copy of the memory of the run before is used if there is one. Returns the headers of the
     /// answer; `Err(None)` if no server can be had.
-    async fn begin(&mut self) -> Result<HeaderMap, Option<Outcome>> {
+    async fn start_attempt(&mut self) -> Result<HeaderMap, Option<Outcome>> {
         let now = self.ctx.now();
-        let spare = self.spare.take();
-        let mut lease = match &spare {
-            Some(held) => self
+        let backup = self.backup.take();
+        let mut lease = match &backup {
+            Some(backup) => self
                 .ctx
                 .servers
-                .take(now, &held.holder.id, self.load(false))
+                .lease(now, &backup.server.id, self.load(false))
                 .ok_or(Some(Outcome::Unsent))?,
             None => self.place().await.ok_or(None)?,
         };
-        let holder = self.holder(&lease, self.progress.forwarded() > 0).await;
-        let extra = Extra {
+        let target = self
+            .place_backup(&lease, self.progress.forwarded() > 0)
+            .await;
+        let options = StreamOptions {
             last_event: self.progress.last_id(),
-            copy_to: holder.as_ref().map(|h| h.addr),
-            copy: spare.as_ref().map(|h| &h.copy),
+            backup_to: target.as_ref().map(|t| t.addr),
+            backup: backup.as_ref().map(|b| &b.handle),
         };
         let (ctx, job) = (Arc::clone(&self.ctx), Arc::clone(&self.job));
         tracing::info!(
-            id = %job.call.id, server = %lease.id, copy = holder.as_ref().map_or("", |h| h.id.as_str()),
-            from = ?extra.copy, last = ?extra.last_event, age_ms = now.since(job.since).0,
-            left_ms = job.left(now).0, version = job.plan.version.0, "stream placed"
+            id = %job.call.id, server = %lease.id, copy = target.as_ref().map_or("", |t| t.id.as_str()),
+            from = ?options.backup, last = ?options.last_event, age_ms = now.since(job.received).0,
+            left_ms = job.time_left(now).0, version = job.plan.version.0, "stream placed"
         );
         let id = lease.id.clone();
-        let left = job.left(now).duration();
+        let left = job.time_left(now).duration();
         let result = tokio::select! {
             biased;
-            result = first_event(&ctx, &job, &lease, &extra) => result,
-            () = liveness::gone(&ctx, &id) => Err(Outcome::TimedOut),
+            result = first_event(&ctx, &job, &lease, &options) => result,
+            () = liveness::until_unreachable(&ctx, &id) => Err(Outcome::TimedOut),
             () = tokio::time::sleep(left) => Err(Outcome::TimedOut),
         };
         let (opened, splitter, event) = match result {
@@ -166,37 +170,37 @@
                 return Err(Some(outcome));
             }
         };
-        lease.started();
+        lease.record_first_output();
         let (parts, body) = opened.response.into_parts();
-        let keeper = self.memory.copies.then(|| {
-            let held = holder.map(|h| Held::followed(h, now));
-            Keeper::start(&self.ctx, &self.job, self.memory, &lease, held)
+        let backup_task = self.kv.has_backups.then(|| {
+            let backup = target.map(|t| Backup::followed(t, now));
+            BackupTask::start(&self.ctx, &self.job, self.kv, &lease, backup)
         });
-        self.first = event;
-        self.run = Some(Run {
+        self.first_event = event;
+        self.attempt = Some(Attempt {
             body,
             splitter,
             link: opened.link,
             head: opened.head,
             lease,
-            keeper,
+            backup_task,
         });
         Ok(parts.headers)
     }
 
     /// Answers the caller with the head of the first run and the events of all.
-    fn answer(self, headers: HeaderMap) -> Response<Body> {
-        let seconds = self.ctx.now().since(self.job.since).0 as f64 / 1_000.0;
+    fn into_response(self, headers: HeaderMap) -> Response<Body> {
+        let seconds = self.ctx.now().since(self.job.received).0 as f64 / 1_000.0;
         let cause = self.job.plan.route.kind.into();
         self.ctx
             .metrics
             .latency
             .get_or_create(&Cause { cause })
             .observe(seconds);
-        let frames = stream::unfold(Some(self), |flow| async {
-            let mut flow = flow?;
-            match flow.pull().await {
-                Ok(Some(bytes)) => Some((Ok(Frame::data(bytes)), Some(flow))),
+        let frames = stream::unfold(Some(self), |state| async {
+            let mut state = state?;
+            match state.next_bytes().await {
+                Ok(Some(bytes)) => Some((Ok(Frame::data(bytes)), Some(state))),
                 Ok(None) => None,
                 Err(cut) => Some((Err(cut), None)),
             }
@@ -207,103 +211,105 @@
     }
 
     /// The next bytes for the caller; `None` after the last.
-    async fn pull(&mut self) -> Result<Option<Bytes>, Cut> {
+    async fn next_bytes(&mut self) -> Result<Option<Bytes>, StreamCut> {
         loop {
-            match self.event().await {
+            match self.read_event().await {
                 Ok(event) => match self.progress.record(self.ctx.now(), &event) {
                     EventAction::Forward => return Ok(Some(event.bytes)),
                     EventAction::Drop => {}
                     EventAction::Gap => self.resume(Outcome::Broken).await?,
                 },
-                Err(End::Whole) => {
-                    self.finish();
+                Err(AttemptEnd::Complete) => {
+                    self.complete();
                     return Ok(None);
                 }
-                Err(End::Lost(outcome)) => self.resume(outcome).await?,
+                Err(AttemptEnd::Failed(outcome)) => self.resume(outcome).await?,
             }
         }
     }
 
     /// The next event of the current run.
-    async fn event(&mut self) -> Result<Event, End> {
-        if let Some(event) = self.first.take() {
+    async fn read_event(&mut self) -> Result<Event, AttemptEnd> {
+        if let Some(event) = self.first_event.take() {
             return Ok(event);
         }
-        let Some(run) = &mut self.run else {
-            return Err(End::Lost(Outcome::Broken));
+        let Some(attempt) = &mut self.attempt else {
+            return Err(AttemptEnd::Failed(Outcome::Broken));
         };
-        let until = self.progress.stall_deadline().min(self.job.until);
+        let deadline = self.progress.stall_deadline().min(self.job.deadline);
         tokio::select! {
             biased;
-            event = next_event(&mut run.body, &mut run.splitter) => match event {
+            event = next_event(&mut attempt.body, &mut attempt.splitter) => match event {
                 Ok(Some(event)) => {
-                    self.ctx.servers.heard(&run.lease.id, self.ctx.now());
+                    self.ctx.servers.record_activity(&attempt.lease.id, self.ctx.now());
                     Ok(event)
                 }
-                Ok(None) => Err(End::Whole),
-                Err(outcome) => Err(End::Lost(outcome)),
+                Ok(None) => Err(AttemptEnd::Complete),
+                Err(outcome) => Err(AttemptEnd::Failed(outcome)),
             },
-            () = self.ctx.timer.at(until) => Err(End::Lost(Outcome::TimedOut)),
-            () = silent(&self.ctx, &run.lease.id, self.progress.idle_since()) => {
-                Err(End::Lost(Outcome::TimedOut))
+            () = self.ctx.timer.at(deadline) => Err(AttemptEnd::Failed(Outcome::TimedOut)),
+            () = until_unreachable(&self.ctx, &attempt.lease.id, self.progress.idle_since()) => {
+                Err(AttemptEnd::Failed(Outcome::TimedOut))
             }
         }
     }
 
     /// Continues the stream at another server.
-    async fn resume(&mut self, mut outcome: Outcome) -> Result<(), Cut> {
-        if self.job.left(self.ctx.now()) == Millis(0) {
+    async fn resume(&mut self, mut outcome: Outcome) -> Result<(), StreamCut> {
+        if self.job.time_left(self.ctx.now()) == Millis(0) {
             // The caller's time is over, which says nothing of the server.
-            return Err(self.cut("timeout"));
+            return Err(self.cut_off("timeout"));
         }
-        let heard = self.progress.idle_since();
-        self.leave(outcome);
+        let idle_since = self.progress.idle_since();
+        self.abandon_attempt(outcome);
         loop {
-            if self.job.left(self.ctx.now()) == Millis(0) {
-                return Err(self.cut("timeout"));
+            if self.job.time_left(self.ctx.now()) == Millis(0) {
+                return Err(self.cut_off("timeout"));
             }
-            if self.next(outcome).await != Action::Resend {
-                return Err(self.cut(outcome.into()));
+            if self.next_action(outcome).await != Action::Resend {
+                return Err(self.cut_off(outcome.into()));
             }
-            let source = if self.spare.is_some() {
+            let source = if self.backup.is_some() {
                 "copy"
             } else {
                 "prompt"
             };
-            match self.begin().await {
+            match self.start_attempt().await {
                 Ok(_) => {
                     let now = self.ctx.now();
-                    self.resumed(source, now.since(heard));
+                    self.record_resume(source, now.since(idle_since));
                     self.progress.reset_idle_timer(now);
                     return Ok(());
                 }
                 Err(Some(failed)) => outcome = failed,
-                Err(None) => return Err(self.cut("no_server")),
+                Err(None) => return Err(self.cut_off("no_server")),
             }
             if outcome == Outcome::NotRun
                 && source == "prompt"
-                && !self.job.pause(&self.ctx, &self.tries).await
+                && !self.job.back_off(&self.ctx, &self.history).await
             {
-                return Err(self.cut(outcome.into()));
+                return Err(self.cut_off(outcome.into()));
             }
         }
     }
 
     /// Ends the current run; the copy of its memory remains to go on from.
-    fn leave(&mut self, outcome: Outcome) {
-        let Some(run) = self.run.take() else { return };
+    fn abandon_attempt(&mut self, outcome: Outcome) {
+        let Some(attempt) = self.attempt.take() else {
+            return;
+        };
         let now = self.ctx.now();
-        liveness::lost(&self.ctx, &run.lease.id);
+        liveness::handle_failure(&self.ctx, &attempt.lease.id);
         tracing::info!(
-            id = %self.job.call.id, server = %run.lease.id, %outcome, last = ?self.progress.last_id(),
+            id = %self.job.call.id, server = %attempt.lease.id, %outcome, last = ?self.progress.last_id(),
             silence_ms = now.since(self.progress.idle_since()).0, "run lost"
         );
-        self.avoid.push(run.lease.id.clone());
-        self.spare = run.keeper.and_then(Keeper::take);
+        self.avoid.push(attempt.lease.id.clone());
+        self.backup = attempt.backup_task.and_then(BackupTask::into_backup);
     }
 
-    fn resumed(&self, cause: &'static str, silence: Millis) {
-        let server = self.run.as_ref().map_or("", |r| r.lease.id.as_str());
+    fn record_resume(&self, cause: &'static str, silence: Millis) {
+        let server = self.attempt.as_ref().map_or("", |r| r.lease.id.as_str());
         tracing::info!(
             id = %self.job.call.id, server, source = cause, silence_ms = silence.0,
             last = ?self.progress.last_id(), "stream resumed"
@@ -318,66 +324,73 @@
     }
 
     /// The stream is whole.
-    fn finish(&mut self) {
-        let Some(run) = self.run.take() else { return };
+    fn complete(&mut self) {
+        let Some(attempt) = self.attempt.take() else {
+            return;
+        };
         let now = self.ctx.now();
-        if !run.head.closes {
+        if !attempt.head.closes {
             self.ctx
                 .servers
-                .keep(&run.lease.id, run.link, now, run.head.idle);
+                .keep_idle(&attempt.lease.id, attempt.link, now, attempt.head.idle);
         }
-        self.job
-            .ended(&self.ctx, "answered", run.head.status, Some(&run.lease.id));
+        self.job.ended(
+            &self.ctx,
+            "answered",
+            attempt.head.status,
+            Some(&attempt.lease.id),
+        );
     }
 
     /// The stream cannot go on.
-    fn cut(&mut self, cause: &'static str) -> Cut {
-        self.run = None;
+    fn cut_off(&mut self, cause: &'static str) -> StreamCut {
+        self.attempt = None;
         self.job
             .ended(&self.ctx, cause, StatusCode::BAD_GATEWAY, None);
-        Cut
+        StreamCut
     }
 
     /// Answers a caller who got no event.
-    fn end(&self, next: Action, cause: &'static str) -> Response<Body> {
-        self.job.end(&self.ctx, next, cause, &UNANSWERED)
+    fn answer_failure(&self, action: Action, cause: &'static str) -> Response<Body> {
+        self.job
+            .answer_failure(&self.ctx, action, cause, &FAILURE_TEXTS)
     }
 
     async fn place(&self) -> Option<Lease> {
-        let want = Want {
+        let request = PlacementRequest {
             service: self.job.plan.service.as_str(),
             load: self.load(true),
-            capacity: self.memory.capacity,
+            capacity: self.kv.capacity,
             avoid: &self.avoid,
             avoid_centre: None,
             prefer_centre: None,
-            content: self.job.call.size.and_then(|s| s.content_hash),
+            prompt_hash: self.job.call.size.and_then(|s| s.content_hash),
         };
-        if self.memory.capacity == 0 {
-            return self.ctx.servers.place(self.ctx.now(), &want);
+        if self.kv.capacity == 0 {
+            return self.ctx.servers.place(self.ctx.now(), &request);
         }
-        probe::place(&self.ctx, &want).await
+        polling::place(&self.ctx, &request).await
     }
 
     /// A server in another data centre for a copy of the run's memory.
-    async fn holder(&self, lease: &Lease, is_urgent: bool) -> Option<Lease> {
-        if !self.memory.copies {
+    async fn place_backup(&self, lease: &Lease, is_resuming: bool) -> Option<Lease> {
+        if !self.kv.has_backups {
             return None;
         }
         let mut avoid = self.avoid.clone();
         avoid.push(lease.id.clone());
         let (ctx, job, centre) = (&self.ctx, &self.job, &lease.centre);
-        if is_urgent {
+        if is_resuming {
             // The caller is waiting; the keeper checks the server once the stream goes on.
-            return copies::place(ctx, job, self.memory, centre, &avoid);
+            return backups::place(ctx, job, self.kv, centre, &avoid);
         }
-        copies::choose(ctx, job, self.memory, centre, &avoid).await
+        backups::place_reachable(ctx, job, self.kv, centre, &avoid).await
     }
 
-    fn load(&self, reads_prompt: bool) -> Load {
+    fn load(&self, has_prefill: bool) -> Load {
         Load {
-            prefill: if reads_prompt { self.memory.prompt } else { 0 },
-            memory: self.memory.needed,
+            prefill: if has_prefill { self.kv.prompt } else { 0 },
+            memory: self.kv.needed,
             backups: 0,
             running: 1,
         }
@@ -391,16 +404,16 @@
     ctx: &Arc<Context>,
     job: &Job,
     lease: &Lease,
-    extra: &Extra<'_>,
-) -> Result<(Opened, Splitter, Option<Event>), Outcome> {
-    let mut opened = send::open(ctx, job, lease, extra).await?;
+    options: &StreamOptions<'_>,
+) -> Result<(OpenResponse, Splitter, Option<Event>), Outcome> {
+    let mut opened = send::send_request(ctx, job, lease, options).await?;
     if !opened.head.status.is_success() {
         return Err(Outcome::Failed);
     }
     let mut splitter = Splitter::default();
     let event = next_event(opened.response.body_mut(), &mut splitter).await?;
-    ctx.servers.heard(&lease.id, ctx.now());
-    if event.is_none() && extra.last_event.is_none() {
+    ctx.servers.record_activity(&lease.id, ctx.now());
+    if event.is_none() && options.last_event.is_none() {
         return Err(Outcome::Broken);
     }
     Ok((opened, splitter, event))
@@ -429,13 +442,13 @@
 }
 
 /// Waits until the server of a stream without events since `heard` is found to be gone.
-async fn silent(ctx: &Context, id: &BackendId, heard: Millis) {
+async fn until_unreachable(ctx: &Context, id: &BackendId, idle_since: Millis) {
     loop {
         // Another stream of the server may have had events meanwhile.
         ctx.timer
-            .at(ask_at(heard, ctx.servers.last_heard(id)))
+            .at(probe_time(idle_since, ctx.servers.last_activity(id)))
             .await;
-        if !liveness::is_there(ctx, id, ASK_AFTER, ASK_LIMIT).await {
+        if !liveness::is_reachable(ctx, id, PROBE_IDLE, PROBE_TIMEOUT).await {
             return;
         }
     }
@@ -443,22 +456,22 @@
 
 /// When a server is asked whether it is there, of a stream whose last event came at `event` and that
 /// itself was heard last at `server`, in whatever way.
-pub fn ask_at(event: Millis, server: Millis) -> Millis {
-    event.max(server) + ASK_AFTER
+pub fn probe_time(last_event: Millis, last_activity: Millis) -> Millis {
+    last_event.max(last_activity) + PROBE_IDLE
 }
 
 /// What the request needs of the engines' memory.
-fn memory(ctx: &Context, job: &Job) -> Memory {
+fn kv_demand(ctx: &Context, job: &Job) -> KvDemand {
     let snapshot = ctx.snapshot.load();
     let service = snapshot.as_ref().and_then(|s| s.service(&job.plan.service));
     let Some(engine) = service.and_then(|s| s.engine) else {
-        return Memory::default();
+        return KvDemand::default();
     };
     let size = job.call.size.unwrap_or_default();
-    Memory {
+    KvDemand {
         capacity: engine.kv_capacity,
         needed: size.kv_tokens(),
         prompt: size.input,
-        copies: engine.has_backups && job.plan.route.kind == Kind::Resumable,
+        has_backups: engine.has_backups && job.plan.route.kind == Kind::Resumable,
     }
 }
--- a/crates/gooseberry-gateway/src/sync.rs
+++ b/crates/gooseberry-gateway/src/sync.rs
@@ -293,7 +293,7 @@
             None => fleet.roster.remove(&id, row.revision, now),
         };
         if change == Change::Restarted {
-            fleet.restarted(&id);
+            fleet.record_restart(&id);
         }
         self.ctx.metrics.servers.set(fleet.roster.len() as i64);
         drop(fleet);
--- a/crates/gooseberry-gateway/tests/shared_feed.rs
+++ b/crates/gooseberry-gateway/tests/shared_feed.rs
@@ -147,10 +147,14 @@
         });
     };
     outage(true);
-    site.until("the outage is noticed", || other.ctx.servers.is_away())
-        .await;
+    site.until("the outage is noticed", || {
+        other.ctx.servers.is_registry_unavailable()
+    })
+    .await;
     outage(false);
-    site.until("the store is back", || !other.ctx.servers.is_away())
-        .await;
+    site.until("the store is back", || {
+        !other.ctx.servers.is_registry_unavailable()
+    })
+    .await;
     change(&site, &other, next).await;
 }
--- a/crates/gooseberry-gateway/tests/store_away.rs
+++ b/crates/gooseberry-gateway/tests/store_away.rs
@@ -14,7 +14,7 @@
 }
 
 fn is_away(site: &Site) -> bool {
-    site.gateway.ctx.servers.is_away()
+    site.gateway.ctx.servers.is_registry_unavailable()
 }
 
 #[tokio::test]
--- a/crates/gooseberry-gateway/tests/stream_resume.rs
+++ b/crates/gooseberry-gateway/tests/stream_resume.rs
@@ -3,7 +3,7 @@
 mod site;
 
 use base::prelude::*;
-use gooseberry_gateway::streams::ask_at;
+use gooseberry_gateway::streams::probe_time;
 use hyper::StatusCode;
 use site::{Answer, Site, events, generation};
 
@@ -56,10 +56,10 @@
 /// Two streams of a server that falls silent at 1,000: one had its last event then, the other before.
 #[test]
 fn silence_of_the_server_counts() {
-    assert_eq!(ask_at(Millis(1_000), Millis(1_000)), Millis(1_300));
+    assert_eq!(probe_time(Millis(1_000), Millis(1_000)), Millis(1_300));
     let (first, again) = (
-        ask_at(Millis(760), Millis(760)),
-        ask_at(Millis(760), Millis(1_000)),
+        probe_time(Millis(760), Millis(760)),
+        probe_time(Millis(760), Millis(1_000)),
     );
     assert!(first > Millis(1_000), "the server has been heard since");
     assert_eq!(again, Millis(1_300), "not 300 ms after the first look");
