--- a/crates/gooseberry-gateway/src/backups.rs
+++ b/crates/gooseberry-gateway/src/backups.rs
@@ -1,7 +1,8 @@
-//! Copies of the memory of running streams, from which they go on after a loss.
+//! KV cache backups of running streams, from which a stream resumes after its server has failed.
 //!
-//! The engine that runs a stream keeps a copy up to date at an engine in another data centre. When that
-//! one is lost, copies are made at a third one by calls, as long as the stream runs.
+//! The engine that runs a stream keeps a backup up to date at an engine in another data centre. If the backup
+//! server fails, the host calls the running engine to copy its KV cache to a third engine, and repeats the call
+//! while the stream runs.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -22,66 +23,66 @@
 use crate::liveness;
 use crate::send::{self, Job};
 
-/// How often the server that holds a copy is checked.
+/// Interval at which the backup server is checked.
 const CHECK_INTERVAL: Millis = Millis(400);
 
-/// A holder that was heard within this time is not asked whether it is there.
+/// A backup server that sent data within this time is not probed.
 const RECENT_ACTIVITY: Millis = Millis(1_500);
 
-/// How long a holder may take to accept a connection.
+/// Time limit for a backup server to accept a connection.
 const PROBE_TIMEOUT: Millis = Millis(120);
 
-/// How often a copy that is made by calls is brought up to date; engines drop one after 4 s.
+/// Interval at which a copy made by a call is made again; engines drop a copy after 4 s.
 const REFRESH_INTERVAL: Millis = Millis(1_000);
 
-/// How long a call that makes a copy may take; the copy itself takes a few milliseconds.
+/// Time limit of a call that copies the KV cache; the copy itself takes a few milliseconds.
 const CALL_TIMEOUT: Millis = Millis(500);
 
-/// The servers that are tried as holders of one copy.
+/// Maximum number of servers probed when a backup server is chosen.
 const MAX_CANDIDATES: usize = 3;
 
-/// The memory that a request needs at an engine.
+/// KV cache that a request needs, with the properties of its service's engines.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct KvDemand {
-    /// The tokens that an engine holds.
+    /// Size of an engine's KV cache in tokens; 0 for a service without engines.
     pub capacity: u64,
-    /// The tokens that this request needs.
+    /// Tokens that the request needs, including its whole output.
     pub needed: u64,
-    /// The tokens of its prompt.
+    /// Tokens of its prompt.
     pub prompt: u64,
-    /// Whether engines copy what they hold to others.
+    /// Whether the request's attempts have backups.
     pub has_backups: bool,
 }
 
-/// A copy and the server that holds it.
+/// A KV cache backup and the server that stores it.
 #[derive(Debug)]
 pub struct Backup {
-    /// The server, with the room that the copy takes.
+    /// The backup server, with the KV cache reserved for the backup.
     pub server: Lease,
-    /// What the copy is.
+    /// How the backup is found when an attempt resumes from it.
     pub handle: KvBackup,
-    /// Since when the server has held it.
+    /// Time from which the server has stored it; a failure of the server after this time invalidates the backup.
     since: Millis,
 }
 
-/// The copy of a run, kept while the run goes on.
+/// Task that maintains the backup of an attempt until it is dropped.
 #[derive(Debug)]
 pub struct BackupTask {
     backup: Arc<Mutex<Option<Backup>>>,
     _task: AbortOnDropHandle<()>,
 }
 
-/// Why a call for a copy gave none.
+/// Reason why a call to copy the KV cache failed.
 #[derive(Debug, Error)]
 enum CallError {
-    #[error("the engine that runs the stream is not reachable")]
+    #[error("the engine that runs the stream is unreachable or did not answer within {} ms", CALL_TIMEOUT.0)]
     Unreachable,
     #[error(transparent)]
     Copy(#[from] CopyError),
 }
 
 impl Backup {
-    /// A copy that the engine of a run keeps up to date at `holder`.
+    /// A backup that the engine of the attempt keeps up to date at `server`.
     pub fn followed(server: Lease, now: Millis) -> Self {
         let handle = KvBackup::Followed {
             holder: server.addr,
@@ -95,7 +96,7 @@
 }
 
 impl BackupTask {
-    /// Watches over the copy of the run of `job` at the server `source`.
+    /// Starts the task for the attempt of `job` at `source`; `backup` is the first backup, if there is one.
     pub fn start(
         ctx: &Arc<Context>,
         job: &Arc<Job>,
@@ -120,13 +121,13 @@
         }
     }
 
-    /// The copy, once the run has ended.
+    /// Stops the task and returns the current backup.
     pub fn into_backup(self) -> Option<Backup> {
         lock(&self.backup).take()
     }
 }
 
-/// Chooses a server in another data centre that is there, for a copy of a run at `centre`.
+/// Leases a reachable server for the backup of an attempt at `centre`, if possible in another data centre.
 pub async fn place_reachable(
     ctx: &Context,
     job: &Job,
@@ -143,8 +144,9 @@
     None
 }
 
-/// Chooses a server in another data centre for a copy of a run at `centre`: in this host's own, unless the
-/// run is there.
+/// Leases a server for the backup of an attempt at `centre`, without probing it.
+///
+/// Prefers this host's data centre, unless the attempt runs there; uses `centre` only if there is no other.
 pub fn place(
     ctx: &Context,
     job: &Job,
@@ -161,7 +163,7 @@
         capacity: kv.capacity,
         avoid,
         avoid_centre: Some(centre.as_str()),
-        // When this host is cut off from the run, the copy is on its side.
+        // If the network between the data centres fails, the backup is on this host's side.
         prefer_centre: Some(ctx.data_centre.as_str()),
         prompt_hash: None,
     };
@@ -169,7 +171,7 @@
     (!avoid.contains(&lease.id)).then_some(lease)
 }
 
-/// What watches over one copy.
+/// State of the task that maintains the backup of one attempt at the server `source`, whose address is `addr`.
 struct Maintainer {
     ctx: Arc<Context>,
     job: Arc<Job>,
@@ -212,7 +214,7 @@
         }
     }
 
-    /// The holder, since when, and its address if the copy is made by calls.
+    /// The backup server, when it received the backup, and its address if the backup is made by calls.
     fn current(&self) -> Option<(BackendId, Millis, Option<SocketAddr>)> {
         let backup = lock(&self.backup);
         let backup = backup.as_ref()?;
@@ -223,7 +225,7 @@
         Some((backup.server.id.clone(), backup.since, addr))
     }
 
-    /// Brings a copy up to date; returns whether it was.
+    /// Copies the KV cache to the same server again; returns whether that succeeded.
     async fn refresh(&self, addr: SocketAddr) -> bool {
         match self.request_copy(addr).await {
             Ok(handle) => {
@@ -240,7 +242,7 @@
         }
     }
 
-    /// Makes a copy at another server; returns whether there is one.
+    /// Makes a backup at another server; returns whether that succeeded.
     async fn replace(&self) -> bool {
         let avoid = [self.source.clone()];
         let server = place_reachable(&self.ctx, &self.job, self.kv, &self.centre, &avoid).await;
@@ -248,7 +250,8 @@
         match self.request_copy(server.addr).await {
             Ok(handle) => {
                 tracing::info!(
-                    id = %self.job.call.id, server = %self.source, holder = %server.id, "copy replaced"
+                    id = %self.job.call.id, server = %self.source, holder = %server.id,
+                    "KV cache backup moved to another server"
                 );
                 let backup = Backup {
                     server,
@@ -273,18 +276,19 @@
     }
 
     fn log_failure(&self, error: &CallError) {
-        tracing::info!(id = %self.job.call.id, server = %self.source, %error, "copy not made");
+        tracing::info!(id = %self.job.call.id, server = %self.source, %error, "KV cache backup failed");
     }
 
-    /// Has the run's memory copied to the server at `to`; returns the name of the copy.
+    /// Calls the running engine to copy its KV cache to the engine at `to`; returns the handle of the copy.
     async fn request_copy(&self, to: SocketAddr) -> Result<String, CallError> {
-        let work = self.exchange(to);
-        match tokio::time::timeout(CALL_TIMEOUT.duration(), work).await {
+        let exchange = self.exchange(to);
+        match tokio::time::timeout(CALL_TIMEOUT.duration(), exchange).await {
             Ok(result) => result,
             Err(_) => Err(CallError::Unreachable),
         }
     }
 
+    /// Sends the copy call and decodes the response, without a time limit for the response.
     async fn exchange(&self, to: SocketAddr) -> Result<String, CallError> {
         let connected =
             send::connect(&self.ctx, &self.source, self.addr, CALL_TIMEOUT, "copy").await;
--- a/crates/gooseberry-gateway/src/calls.rs
+++ b/crates/gooseberry-gateway/src/calls.rs
@@ -1,4 +1,4 @@
-//! Requests whose answers are whole: calls to plain services.
+//! Calls to plain services: the complete response is buffered before the caller gets it.
 
 use std::sync::Arc;
 
@@ -15,25 +15,25 @@
 use crate::reply::{self, Body};
 use crate::send::{self, FailureTexts, Job, OpenResponse, StreamOptions};
 
-/// The largest answer that is held in memory, in bytes.
+/// Maximum size of a buffered response body.
 const MAX_ANSWER_BYTES: usize = 16 << 20;
 
-/// What a caller is told whose call no server answered.
+/// Error texts for a caller whose call no server answered.
 const FAILURE_TEXTS: FailureTexts = FailureTexts {
-    not_run: "no backend server could take the request; it has not run, come back later",
+    not_run: "no backend server could take the request; it has not run, retry later",
     retry_ms: 300,
-    timeout: "no answer came within the time limit; the request may have run",
-    lost: "the backend server was lost before its answer was whole; the request may have run",
+    timeout: "no answer arrived within the time limit; the request may have run",
+    lost: "the backend server failed before its answer was complete; the request may have run",
 };
 
-/// A whole answer of a backend server.
+/// A complete response of a backend server.
 #[derive(Debug)]
 struct FullAnswer {
     response: Response<Bytes>,
     head: Head,
 }
 
-/// Runs a call and answers its caller.
+/// Runs a call, with retries at other servers; returns the response for the caller.
 pub async fn run(ctx: &Arc<Context>, job: &Job) -> Response<Body> {
     let mut history = SendHistory::default();
     let mut avoid: Vec<BackendId> = Vec::new();
@@ -64,7 +64,7 @@
         let server = lease.id.clone();
         drop(lease);
         let action = job.next_action(ctx, &mut history, outcome).await;
-        tracing::debug!(id = %job.call.id, %server, %outcome, next = %action, "call");
+        tracing::debug!(id = %job.call.id, %server, %outcome, next = %action, "call attempt ended");
         match (action, answer) {
             (Action::Deliver, Some(answer)) => return deliver(ctx, job, answer, &server),
             (Action::Resend, _) => avoid.push(server),
@@ -76,12 +76,12 @@
     }
 }
 
-/// Whether the server ran the request and failed, so that another server may do better.
+/// Whether the server ran the request and failed, so that a retry at another server may succeed.
 fn is_failure(head: &Head) -> bool {
     head.status.is_server_error()
 }
 
-/// Sends the request and reads the whole answer.
+/// Sends the request and reads the complete response.
 async fn exchange(ctx: &Arc<Context>, job: &Job, lease: &Lease) -> Result<FullAnswer, Outcome> {
     let opened = send::send_request(ctx, job, lease, &StreamOptions::default()).await?;
     let OpenResponse {
@@ -93,7 +93,10 @@
     let body = match Limited::new(body, MAX_ANSWER_BYTES).collect().await {
         Ok(body) => body.to_bytes(),
         Err(error) => {
-            tracing::info!(id = %job.call.id, server = %lease.id, %error, "answer cut off");
+            tracing::info!(
+                id = %job.call.id, server = %lease.id, %error,
+                "failed to read the response body"
+            );
             return Err(Outcome::Broken);
         }
     };
@@ -106,7 +109,7 @@
     })
 }
 
-/// Passes a server's answer on.
+/// Forwards a server's response to the caller.
 fn deliver(ctx: &Context, job: &Job, answer: FullAnswer, server: &BackendId) -> Response<Body> {
     let (parts, body) = answer.response.into_parts();
     let mut response = Response::new(reply::full(body));
--- a/crates/gooseberry-gateway/src/context.rs
+++ b/crates/gooseberry-gateway/src/context.rs
@@ -1,4 +1,4 @@
-//! What the requests of a host share.
+//! State shared by all requests of a host.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -17,49 +17,49 @@
 use crate::metrics::Metrics;
 use crate::send::Job;
 
-/// How often a request that waits for a repeat looks whether there is one; half of the least time between
-/// two digests.
+/// Interval at which a request that waits for a retry checks the budget: half of the minimum time between two
+/// digests.
 const RETRY_POLL: Millis = Millis(50);
 
-/// The times that the users set.
+/// Time limits set by the deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// The time between SIGTERM and SIGKILL.
+    /// Time between SIGTERM and SIGKILL.
     pub grace: Millis,
-    /// The time after which a leaving server must get no more requests.
+    /// Time from the moment a server starts to leave after which no request may be sent to it.
     pub leave: Millis,
 }
 
-/// What the requests of a host share.
+/// State shared by all requests of a host.
 #[derive(Debug)]
 pub struct Context {
-    /// The data centre of this host.
+    /// Data centre of this host.
     pub data_centre: DataCentre,
-    /// The clock.
+    /// Clock and timers.
     pub timer: Timer,
-    /// The configuration in force, if one was read.
+    /// The current configuration; `None` until one is read.
     pub snapshot: ArcSwapOption<Snapshot>,
-    /// The backend servers.
+    /// State of the backend servers.
     pub servers: Servers,
-    /// What this host tells others of the store's tables.
+    /// Recent changes of the store's tables, which this host passes on to others.
     pub feeds: Feeds,
-    /// The metrics.
+    /// Metrics of the process.
     pub metrics: Metrics,
-    /// What the other hosts tell.
+    /// State of the exchange with the other hosts.
     gossip: Mutex<Gossip>,
-    /// Wakes the sender of digests when there is something to tell at once.
+    /// Wakes the digest sender to send before its next period.
     pub wake_gossip: Notify,
-    /// The times that the users set.
+    /// Time limits set by the deployment.
     pub limits: Limits,
-    /// The budget of a service of which nothing was asked yet.
+    /// Retry budget of a service that has had no requests yet.
     initial_budget: Budget,
     budgets: Mutex<Sorted<ServiceName, Budget>>,
-    /// When the process was told to stop, plus 1; 0 while it was not.
+    /// When the process began to stop, plus 1; 0 before.
     stopping: AtomicU64,
 }
 
 impl Context {
-    /// The context of a process that has just started.
+    /// The context of a process that has just started, without a configuration.
     pub fn new(
         data_centre: DataCentre,
         timer: Timer,
@@ -83,19 +83,19 @@
         }
     }
 
-    /// The time now.
+    /// Current time.
     pub fn now(&self) -> Millis {
         self.timer.now()
     }
 
-    /// Notes a request, which earns its service a part of a repeat.
+    /// Records a request, which adds a fraction of a retry to the budget of its service.
     pub fn record_request(&self, job: &Job) {
         let now = self.now();
         self.budget(job, |b| b.record_request(now));
     }
 
-    /// Takes one repeat out of the budget of the request's service; waits for one if there is none left
-    /// and the caller has time. Returns whether there was one.
+    /// Takes one retry from the budget of the request's service; while none is left, waits for at most
+    /// [`SendHistory::retry_wait`]. Returns whether a retry was granted.
     pub async fn acquire_retry(&self, job: &Job) -> bool {
         let started = self.now();
         let limit = SendHistory::retry_wait(
@@ -111,7 +111,7 @@
                     self.metrics.repeat_wait("repeated");
                     tracing::info!(
                         id = %job.call.id, service = %job.plan.service, waited_ms = waited.0,
-                        "waited for a repeat"
+                        "retry granted after waiting for the retry budget"
                     );
                 }
                 return true;
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Takes one repeat out of the budget of the request's service, if there is one left.
+    /// Takes one retry from the budget of the request's service; returns whether one was left.
     fn try_spend(&self, job: &Job, now: Millis) -> bool {
         let (is_granted, is_exchange_due) =
             self.budget(job, |b| (b.try_spend(now), b.is_exchange_due(now)));
@@ -143,32 +143,33 @@
         tracing::info!(
             id = %job.call.id, service = %job.plan.service, waited_ms = waited.0, requests = own.0,
             repeats = own.1, hosts = others.reporting, known = others.known, all_requests = others.requests[0] + own.0,
-            all_repeats = others.retries + own.1, waiting = others.waiting, "no repeat left in the budget"
+            all_repeats = others.retries + own.1, waiting = others.waiting,
+            "retry denied: the retry budget is exhausted"
         );
     }
 
-    /// The retry budgets of all services.
+    /// Locks the retry budgets of all services.
     pub fn budgets(&self) -> MutexGuard<'_, Sorted<ServiceName, Budget>> {
         self.budgets.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What the other hosts tell.
+    /// Locks the state of the exchange with the other hosts.
     pub fn gossip(&self) -> MutexGuard<'_, Gossip> {
         self.gossip.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The process was told to stop.
+    /// Records that the process begins to stop.
     pub fn stop(&self) {
         self.stopping.store(self.now().0 + 1, Ordering::Relaxed);
     }
 
-    /// When the process was told to stop, if it was.
+    /// When the process began to stop; `None` before.
     pub fn stopped(&self) -> Option<Millis> {
         let at = self.stopping.load(Ordering::Relaxed);
         at.checked_sub(1).map(Millis)
     }
 
-    /// Whether the host takes new connections.
+    /// Whether the host is ready for requests: not stopping, with a configuration and at least one server.
     pub fn is_ready(&self) -> bool {
         self.stopped().is_none()
             && self.snapshot.load().is_some()
@@ -181,7 +182,7 @@
     }
 }
 
-/// Counts a request while it waits for a repeat.
+/// Counts a request in its service's budget while it waits for a retry.
 struct RetryWait<'a> {
     ctx: &'a Context,
     job: &'a Job,
@@ -200,12 +201,12 @@
     }
 }
 
-/// Counts a request while it is in flight: until its answer is whole, or its caller has left.
+/// Counts a request while it is in flight: until its response is complete or its caller disconnects.
 #[derive(Debug)]
 pub struct InFlight(Arc<Context>);
 
 impl InFlight {
-    /// Counts a request that has just come.
+    /// Counts a request that has just arrived.
     pub fn new(ctx: &Arc<Context>) -> Self {
         ctx.metrics.in_flight.inc();
         Self(Arc::clone(ctx))
--- a/crates/gooseberry-gateway/src/fleet.rs
+++ b/crates/gooseberry-gateway/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The backend servers as this host knows them: rows, load, health and idle connections.
+//! State of the backend servers at this host: registry rows, load, health and idle connections.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -13,81 +13,82 @@
 
 use crate::link::Link;
 
-/// The idle connections that are kept for one server.
+/// Maximum number of idle connections kept per server.
 const MAX_IDLE: usize = 8;
 
-/// How long an idle connection is kept where the server does not say; the shortest seen is 5 s.
+/// How long an idle connection is kept if the server states no idle timeout; the shortest timeout observed on
+/// servers is 5 s.
 const DEFAULT_IDLE: Millis = Millis(3_000);
 
-/// An idle connection is given up so long before the server closes it.
+/// An idle connection is dropped this long before the server would close it.
 const IDLE_MARGIN: Millis = Millis(700);
 
-/// How long another host's word that a server is gone counts.
+/// How long another host's report that a server is unreachable stays valid.
 const SUSPICION_TTL: Millis = Millis(1_000);
 
-/// What this host knows of one server besides its row.
+/// State of one server beyond its registry row.
 #[derive(Debug, Default)]
 struct Server {
     load: Load,
     health: Health,
-    /// When bytes last came from it.
+    /// When it last sent data or accepted a connection.
     last_activity: Millis,
-    /// When it was last asked whether it is there.
+    /// When it was last chosen for a probe because a neighbour failed.
     last_probe: Millis,
-    /// When it was last found to be gone.
+    /// When this host last found it unreachable or unresponsive; `None` if it never did.
     last_failure: Option<Millis>,
-    /// Until when another host's word that it is gone counts.
+    /// Until when another host's report that it is unreachable is valid.
     suspected_until: Millis,
-    /// Connections without a request, and until when they may be used.
+    /// Idle connections, each with the time until which it may be used.
     idle: Vec<(Link, Millis)>,
 }
 
-/// All backend servers.
+/// All backend servers, registered or with load of this host.
 #[derive(Debug, Default)]
 pub struct Fleet {
-    /// The rows of the registry.
+    /// The registered servers.
     pub roster: Roster,
     servers: Sorted<BackendId, Server>,
 }
 
-/// The backend servers, shared by the requests of a host.
+/// Handle to the fleet, shared by all requests of a host.
 #[derive(Clone, Debug, Default)]
 pub struct Servers(Arc<Mutex<Fleet>>);
 
-/// A server chosen for a request; its load is taken back when this is dropped.
+/// A server reserved for a request; its load is released when the lease is dropped.
 #[derive(Debug)]
 pub struct Lease {
     servers: Servers,
-    /// The server.
+    /// Id of the server.
     pub id: BackendId,
-    /// Where it takes requests.
+    /// Address on which it accepts requests.
     pub addr: SocketAddr,
-    /// Its data centre.
+    /// Data centre of the server.
     pub centre: DataCentre,
     load: Load,
 }
 
-/// What is to be placed.
+/// Requirements on the server for a request or a backup.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PlacementRequest<'a> {
-    /// The service.
+    /// The service that the server must belong to.
     pub service: &'a str,
-    /// What the request adds to the load of its server.
+    /// Load that the request puts on its server.
     pub load: Load,
-    /// Tokens that a server's memory holds; 0 for a plain service.
+    /// Size of a server's KV cache in tokens; 0 for a plain service.
     pub capacity: u64,
-    /// Servers that are taken only if there is no other.
+    /// Servers chosen only if there is no other.
     pub avoid: &'a [BackendId],
-    /// A data centre that is taken only if there is no other.
+    /// Data centre whose servers are chosen only if there is no other.
     pub avoid_centre: Option<&'a str>,
-    /// A data centre whose servers are taken before others, if they have room.
+    /// Data centre whose servers are chosen before others, if they have room.
     pub prefer_centre: Option<&'a str>,
-    /// A hash of the prompt that is the same for each repeat of the request.
+    /// Hash of the prompt, which is the same for each retry; `None` for a request without a prompt.
     pub prompt_hash: Option<u64>,
 }
 
 impl PlacementRequest<'_> {
-    /// The memory that a generation needs, whose prompt is to be read.
+    /// KV cache that a generation needs which starts from its prompt.
     pub fn need(&self) -> Need {
         Need {
             memory: self.load.memory,
@@ -98,20 +99,20 @@
 }
 
 impl Servers {
-    /// The fleet, to be read or changed without waiting.
+    /// Locks the fleet; the guard must not be held across an await.
     pub fn lock(&self) -> MutexGuard<'_, Fleet> {
-        // No code panics while it holds the lock, and the counts are usable after one that did.
+        // No code panics while it holds the lock; even if it did, the counts would remain usable.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Chooses a server.
+    /// Chooses and leases a server; `None` if none is usable.
     pub fn place(&self, now: Millis, request: &PlacementRequest<'_>) -> Option<Lease> {
         let mut fleet = self.lock();
         let id = fleet.choose(now, request)?;
         fleet.lease(self, id, request.load)
     }
 
-    /// At most `count` servers for a request, the best first by what this host knows; none is taken.
+    /// At most `count` servers for a request, the best first as far as this host knows, without a lease.
     pub fn shortlist(
         &self,
         now: Millis,
@@ -121,13 +122,13 @@
         self.lock().shortlist(now, request, count)
     }
 
-    /// Tokens of prompts that this host has sent to a server and that have given no output yet.
+    /// Tokens of the prompts that this host has sent to a server and that have no output yet.
     pub fn prefill(&self, id: &BackendId) -> u64 {
         let fleet = self.lock();
         fleet.servers.get(id).map_or(0, |s| s.load.prefill)
     }
 
-    /// Takes the server of that id, if it may be used.
+    /// Leases the given server; `None` if it may not take new requests.
     pub fn lease(&self, now: Millis, id: &BackendId, load: Load) -> Option<Lease> {
         let mut fleet = self.lock();
         if !fleet.roster.get(id)?.is_usable(now) {
@@ -136,7 +137,7 @@
         fleet.lease(self, id.clone(), load)
     }
 
-    /// Bytes came from a server.
+    /// Records that a server sent data or accepted a connection; clears other hosts' reports against it.
     pub fn record_activity(&self, id: &BackendId, now: Millis) {
         if let Some(server) = self.lock().servers.get_mut(id) {
             server.last_activity = now;
@@ -145,13 +146,13 @@
         }
     }
 
-    /// When bytes last came from a server.
+    /// When a server last sent data or accepted a connection; 0 if it never did.
     pub fn last_activity(&self, id: &BackendId) -> Millis {
         let fleet = self.lock();
         fleet.servers.get(id).map_or(Millis(0), |s| s.last_activity)
     }
 
-    /// A server is not reachable or fell silent.
+    /// Records that a server is unreachable or unresponsive; drops its idle connections.
     pub fn record_unreachable(&self, id: &BackendId, now: Millis) {
         if let Some(server) = self.lock().servers.get_mut(id) {
             server.health.record_unreachable(now);
@@ -160,25 +161,25 @@
         }
     }
 
-    /// The address of a server that is listed and that no other has replaced.
+    /// Address of a server; `None` if it is not listed or another server has replaced it.
     pub fn addr(&self, id: &BackendId) -> Option<SocketAddr> {
         let fleet = self.lock();
         let member = fleet.roster.get(id)?;
         (!member.is_replaced).then_some(member.entry.addr)
     }
 
-    /// The service of a server.
+    /// Service of a server; `None` if it is not listed.
     pub fn service(&self, id: &BackendId) -> Option<ServiceName> {
         let fleet = self.lock();
         Some(fleet.roster.get(id)?.entry.service.clone())
     }
 
-    /// Whether the registry does not answer now.
+    /// Whether the registry is unavailable at present.
     pub fn is_registry_unavailable(&self) -> bool {
         self.lock().roster.is_unavailable()
     }
 
-    /// Whether a server has been there without a break since `since`, as far as is known.
+    /// Whether a server is listed, not replaced, and was not found unreachable since `since`.
     pub fn is_up_since(&self, id: &BackendId, since: Millis) -> bool {
         let fleet = self.lock();
         let is_listed = fleet.roster.get(id).is_some_and(|m| !m.is_replaced);
@@ -186,8 +187,8 @@
         is_listed && failure.is_none_or(|at| at < since)
     }
 
-    /// At most `limit` servers of the same service and data centre as `id` that are believed to be
-    /// there but were neither heard nor asked within `recent`; they count as asked now.
+    /// At most `limit` usable servers of the same service and data centre as `id` from which nothing was
+    /// received within `recent` and that were not probed in that time; records them as probed now.
     pub fn neighbours_to_probe(
         &self,
         id: &BackendId,
@@ -218,7 +219,9 @@
         found
     }
 
-    /// Another host found a server to be gone at `at`; counts unless it was heard since.
+    /// Records another host's report that a server was unreachable at `at`, unless data arrived from it since.
+    ///
+    /// `server_hash` is the short hash of the server's id.
     pub fn suspect(&self, server_hash: u32, at: Millis, now: Millis) {
         let mut guard = self.lock();
         let fleet = &mut *guard;
@@ -233,7 +236,7 @@
         }
     }
 
-    /// An idle connection to a server, if there is a usable one.
+    /// Takes an idle connection to a server; `None` if there is no usable one.
     pub fn take_idle(&self, id: &BackendId, now: Millis) -> Option<Link> {
         let mut fleet = self.lock();
         let server = fleet.servers.get_mut(id)?;
@@ -243,7 +246,7 @@
         server.idle.pop().map(|(link, _)| link)
     }
 
-    /// Keeps a connection for a later request; `limit` is how long the server leaves it open.
+    /// Keeps a connection for a later request; `timeout` is the idle timeout that the server states.
     pub fn keep_idle(&self, id: &BackendId, link: Link, now: Millis, timeout: Option<Millis>) {
         let until = now + timeout.map_or(DEFAULT_IDLE, |t| t - IDLE_MARGIN);
         let mut fleet = self.lock();
@@ -280,7 +283,7 @@
         })
     }
 
-    /// The servers that `pick` chooses among those that may be used.
+    /// The servers that `pick` selects among the usable ones of the service, in its order.
     fn candidates(
         &self,
         now: Millis,
@@ -342,7 +345,7 @@
         Some(lease)
     }
 
-    /// Forgets servers whose rows are gone and that run nothing.
+    /// Removes servers that are no longer listed and have no load, and drops expired idle connections.
     pub fn sweep(&mut self, now: Millis) {
         self.roster.expire(now);
         let roster = &self.roster;
@@ -352,7 +355,7 @@
         });
     }
 
-    /// A server started anew: what is known of the one before no longer holds.
+    /// Records that a server restarted: resets its health and drops the connections to its previous process.
     pub fn record_restart(&mut self, id: &BackendId) {
         if let Some(server) = self.servers.get_mut(id) {
             server.idle.clear();
@@ -362,7 +365,7 @@
 }
 
 impl Lease {
-    /// The first output came: the prompt has been read.
+    /// Records the first output: the prefill is complete, so its load is released.
     pub fn record_first_output(&mut self) {
         let prefill = Load {
             prefill: std::mem::take(&mut self.load.prefill),
--- a/crates/gooseberry-gateway/src/link.rs
+++ b/crates/gooseberry-gateway/src/link.rs
@@ -1,4 +1,4 @@
-//! One connection to a backend server or to the store.
+//! Client side of one HTTP/1 connection to a backend server or to the store.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,13 +14,14 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// The silence after which the kernel asks whether the peer is still there; the least it offers.
+/// Idle time before the first TCP keepalive probe, and interval between probes; the shortest that the kernel
+/// supports.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long written bytes may stay unacknowledged.
+/// How long sent data may remain unacknowledged before the kernel closes the connection.
 const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Why a request has no answer.
+/// Reason why a request has no response.
 #[derive(Debug)]
 pub enum SendError {
     /// No byte of the request was written.
@@ -29,12 +30,12 @@
     Broken(hyper::Error),
 }
 
-/// A connection, closed at once when it is dropped.
+/// A connection; dropping it closes it at once.
 #[derive(Debug)]
 pub struct Link {
     sender: SendRequest<Full<Bytes>>,
     driver: AbortHandle,
-    /// Whether it has carried a request before.
+    /// Whether a request has been sent on it.
     pub is_used: bool,
 }
 
@@ -43,7 +44,7 @@
     ///
     /// # Errors
     ///
-    /// The system's error, or `TimedOut` after `limit`.
+    /// The operating system's error, or `TimedOut` after `timeout`.
     pub async fn open(addr: SocketAddr, timeout: Millis) -> io::Result<Self> {
         let stream = tokio::time::timeout(timeout.duration(), TcpStream::connect(addr))
             .await
@@ -54,7 +55,7 @@
             .map_err(io::Error::other)?;
         let task = tokio::spawn(async move {
             if let Err(error) = connection.await {
-                tracing::debug!(%addr, %error, "connection ended");
+                tracing::debug!(%addr, %error, "connection closed with an error");
             }
         });
         Ok(Self {
@@ -64,11 +65,11 @@
         })
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of its response.
     ///
     /// # Errors
     ///
-    /// [`SendError`], which tells whether the request may have run.
+    /// A [`SendError`], which states whether the request may have run.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -86,11 +87,11 @@
         }
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the complete response.
     ///
     /// # Errors
     ///
-    /// [`SendError`]; an answer that breaks off is `Broken`.
+    /// A [`SendError`]; a truncated response is `Broken`.
     pub async fn fetch(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -113,8 +114,9 @@
     }
 }
 
-/// Sets the options by which a silent peer is noticed; `limit` is how long written bytes may stay
-/// unacknowledged, where that is to be shorter than the system's own limit.
+/// Sets the socket options that detect an unresponsive peer, and disables Nagle's algorithm.
+///
+/// `user_timeout` is how long sent data may remain unacknowledged; `None` for the system's default.
 pub fn tune(stream: &TcpStream, user_timeout: Option<Duration>) {
     let probes = TcpKeepalive::new()
         .with_time(KEEPALIVE_INTERVAL)
@@ -127,6 +129,6 @@
         user_timeout.map_or(Ok(()), |t| socket.set_tcp_user_timeout(Some(t))),
     ];
     for error in results.into_iter().filter_map(Result::err) {
-        tracing::warn!(%error, "a socket option is not available; losses are noticed later");
+        tracing::warn!(%error, "socket option could not be set; unresponsive peers are detected later");
     }
 }
--- a/crates/gooseberry-gateway/src/liveness.rs
+++ b/crates/gooseberry-gateway/src/liveness.rs
@@ -1,7 +1,7 @@
-//! Whether backend servers are there: losses are spread to what shares their fate.
+//! Liveness probes of backend servers, by opening a connection.
 //!
-//! A registry lists a dead server for seconds. What this host sees of one server says something of the
-//! others in its data centre, which a new connection confirms or refutes within milliseconds.
+//! The registry lists a crashed server for seconds. When this host finds one server unreachable, the others in
+//! its data centre may have failed with it; a probe confirms or refutes that within milliseconds.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,19 +13,19 @@
 use crate::link::Link;
 use crate::polling;
 
-/// A server that runs a prompt and was not heard for this time is asked whether it is there.
+/// A server that processes a prompt and has sent nothing for this time is probed.
 const PROBE_IDLE: Millis = Millis(600);
 
-/// How long a server may take to accept a connection when it is asked whether it is there.
+/// Time limit for a server to accept the connection of a probe.
 const PROBE_TIMEOUT: Millis = Millis(250);
 
-/// A server that was heard within this time is not asked after a loss beside it.
+/// A server that sent data within this time is not probed when a neighbour fails.
 const RECENT_ACTIVITY: Millis = Millis(150);
 
-/// The servers that are asked after a loss beside them; bounds what many hosts do at once.
+/// Maximum number of neighbours probed after a server fails; bounds the load when many hosts probe at once.
 const MAX_PROBES: usize = 8;
 
-/// A server is not reachable or fell silent: leaves it out, and asks those beside it.
+/// Records and reports a server that is unreachable or unresponsive, and probes its neighbours in the background.
 pub fn handle_failure(ctx: &Arc<Context>, id: &BackendId) {
     let now = ctx.now();
     report_unreachable(ctx, id, now);
@@ -40,14 +40,14 @@
     }
 }
 
-/// Leaves a server out and tells the other hosts.
+/// Records a server as unreachable and reports it to the other hosts.
 fn report_unreachable(ctx: &Context, id: &BackendId, now: Millis) {
     ctx.servers.record_unreachable(id, now);
     ctx.gossip().server_failed(now, short(id.as_str()));
     ctx.wake_gossip.notify_one();
 }
 
-/// Whether a server is there: it was heard within `recent`, or accepts a connection within `limit`.
+/// Whether a server is reachable: it sent data within `recent`, or accepts a connection within `timeout`.
 pub async fn is_reachable(ctx: &Context, id: &BackendId, recent: Millis, timeout: Millis) -> bool {
     let now = ctx.now();
     if now.since(ctx.servers.last_activity(id)) < recent
@@ -61,7 +61,7 @@
     }
 }
 
-/// Has a server that did not answer in time asked whether it is there; the caller goes on.
+/// Probes a server that did not answer in time, in the background.
 pub fn spawn_check(ctx: &Arc<Context>, id: &BackendId) {
     let (ctx, id) = (Arc::clone(ctx), id.clone());
     tokio::spawn(async move {
@@ -71,7 +71,7 @@
     });
 }
 
-/// Asks a server whether it is there; returns the answer.
+/// Probes a server; returns whether it accepted a connection. Reports it to the other hosts if it did not.
 async fn probe(ctx: &Context, id: &BackendId, addr: SocketAddr, timeout: Millis) -> bool {
     ctx.metrics.connected("liveness");
     let connected = Link::open(addr, timeout).await;
@@ -84,17 +84,17 @@
         }
         Err(error) => {
             let silence = now.since(ctx.servers.last_activity(id));
-            tracing::info!(server = %id, %addr, silence_ms = silence.0, %error, "server gone");
+            tracing::info!(server = %id, %addr, silence_ms = silence.0, %error, "liveness probe failed");
             report_unreachable(ctx, id, now);
             false
         }
     }
 }
 
-/// A server answered at the address of `old`, which is gone: takes it as a new server of the service.
+/// Adopts the server `new`, which answered at the address of `old`, as a server of the same service.
 ///
-/// Only while the registry is away, and only if it must be of that service: it is an engine, and no
-/// other service has engines.
+/// Only while the registry is unavailable, and only if the service of `new` is certain: it is an engine, and
+/// no other service has engines.
 pub async fn adopt(ctx: &Arc<Context>, old: &BackendId, new: &BackendId, link: &mut Link) {
     ctx.servers.record_unreachable(old, ctx.now());
     let Some(service) = ctx
@@ -119,10 +119,13 @@
         .roster
         .adopt(old, new, report.start_time)
         .into();
-    tracing::info!(server = %new, before = %old, born = report.start_time, change, "server met without a row");
+    tracing::info!(
+        server = %new, before = %old, born = report.start_time, change,
+        "unregistered server answered at the address of another one"
+    );
 }
 
-/// Waits until a server that gives no output is found to be gone.
+/// Waits until a server without output fails a probe or is no longer listed.
 pub async fn until_unreachable(ctx: &Context, id: &BackendId) {
     let mut last_activity = ctx.now();
     loop {
--- a/crates/gooseberry-gateway/src/polling.rs
+++ b/crates/gooseberry-gateway/src/polling.rs
@@ -1,4 +1,4 @@
-//! Asks engines for their load before a prompt is placed.
+//! Placement of prompts by polling engines for their load.
 
 use std::sync::Arc;
 
@@ -15,16 +15,16 @@
 use crate::link::Link;
 use crate::{liveness, send};
 
-/// The servers that are asked at once for one placement.
+/// Number of servers polled at once for one placement.
 const POLL_SIZE: usize = 3;
 
-/// How often others are asked while none has room.
+/// Maximum number of polls for one placement, each of further servers, while none has room.
 const MAX_ROUNDS: usize = 3;
 
-/// How long an engine may take to answer; within a region it takes a few milliseconds.
+/// Time limit for an engine to answer; within a region it takes a few milliseconds.
 const POLL_TIMEOUT: Millis = Millis(60);
 
-/// Chooses a server for a prompt: asks a few, and takes the one where the fewest prompts wait.
+/// Leases a server for a prompt: polls a few, and chooses the one with the fewest waiting prompts.
 pub async fn place(ctx: &Arc<Context>, request: &PlacementRequest<'_>) -> Option<Lease> {
     let ids = ctx
         .servers
@@ -41,14 +41,14 @@
         }
     }
     let chosen = best_report(&reports, &need)?;
-    tracing::debug!(server = %ids[chosen], told = ?reports, "engines asked");
+    tracing::debug!(server = %ids[chosen], told = ?reports, "engines polled for load");
     let lease = ctx.servers.lease(ctx.now(), &ids[chosen], request.load);
     lease.or_else(|| ctx.servers.place(ctx.now(), request))
 }
 
-/// Asks one server; `None` if it does not answer.
+/// Polls one server; `None` if it does not answer. `prompt_tokens` is the size of the prompt to be placed.
 async fn poll(ctx: &Arc<Context>, id: &BackendId, prompt_tokens: u64) -> Option<LoadReport> {
-    let exchange = exchange(ctx, id);
+    let exchange = fetch(ctx, id);
     let report = match tokio::time::timeout(POLL_TIMEOUT.duration(), exchange).await {
         Ok(report) => report?,
         Err(_) => {
@@ -56,7 +56,7 @@
             return None;
         }
     };
-    // A report is some hundred milliseconds old; this host's own prompts may not be in it.
+    // A report is some hundred milliseconds old and may not include this host's latest prompts.
     let own = ctx.servers.prefill(id).div_ceil(prompt_tokens.max(1));
     Some(LoadReport {
         waiting: report.queued.max(own),
@@ -65,7 +65,8 @@
     })
 }
 
-async fn exchange(ctx: &Arc<Context>, id: &BackendId) -> Option<Report> {
+/// Fetches a server's report over an idle or a new connection.
+async fn fetch(ctx: &Arc<Context>, id: &BackendId) -> Option<Report> {
     let addr = ctx.servers.addr(id)?;
     let mut link = match send::connect(ctx, id, addr, POLL_TIMEOUT, "report").await {
         Ok(link) => link,
@@ -86,7 +87,7 @@
     Some(report)
 }
 
-/// Asks a server for its report; `None` if it is no engine.
+/// Fetches a server's load report; `None` if the connection fails or the server is not an engine.
 pub async fn fetch_report(link: &mut Link) -> Option<Report> {
     let mut request = Request::new(Full::new(Bytes::new()));
     *request.uri_mut() = Uri::from_static(report::PATH);
--- a/crates/gooseberry-gateway/src/reply.rs
+++ b/crates/gooseberry-gateway/src/reply.rs
@@ -1,4 +1,4 @@
-//! Answers of the gateway's own.
+//! Responses that the gateway itself generates, and the type of all response bodies.
 
 use bytes::Bytes;
 use http_body_util::combinators::UnsyncBoxBody;
@@ -8,15 +8,15 @@
 use serde::Serialize;
 use thiserror::Error;
 
-/// A response body: whole, or a stream of events.
+/// A response body: buffered, or a stream of events.
 pub type Body = UnsyncBoxBody<Bytes, StreamCut>;
 
-/// Why a body ends before its end; the caller sees a broken connection.
+/// Ends a stream's body early, so that the caller sees a broken connection and not a complete stream.
 #[derive(Clone, Copy, Debug, Error)]
-#[error("the stream could not be continued; ask again with the last event's id")]
+#[error("the stream could not be resumed; retry with the id of the last event received")]
 pub struct StreamCut;
 
-/// The body of an error.
+/// JSON body of an error response.
 #[derive(Debug, Serialize)]
 struct ErrorBody<'a> {
     kind: &'a str,
@@ -25,19 +25,19 @@
     ran: &'a str,
 }
 
-/// A body that is sent whole.
+/// A body whose bytes are all known.
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into())
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
-/// An answer that the configuration or the caller's own mistake calls for.
+/// A rejection by the configuration or because of an invalid request; the request has not run.
 pub fn denied(status: StatusCode, kind: &str, message: &str) -> Response<Body> {
     error(status, kind, message, "not_run")
 }
 
-/// A refusal: the request has not run and never will.
+/// A refusal: the request has not run and will not run; the caller may retry it after `retry_ms`.
 pub fn refused(kind: &str, message: &str, retry_ms: u64) -> Response<Body> {
     let mut response = error(StatusCode::SERVICE_UNAVAILABLE, kind, message, "not_run");
     let seconds = format!("{}.{:03}", retry_ms / 1_000, retry_ms % 1_000);
@@ -47,7 +47,7 @@
     response
 }
 
-/// A failure after which it is not known whether the request has run.
+/// A failure after which it is unknown whether the request has run.
 pub fn outcome_unknown(status: StatusCode, kind: &str, message: &str) -> Response<Body> {
     error(status, kind, message, "unknown")
 }
--- a/crates/gooseberry-gateway/src/send.rs
+++ b/crates/gooseberry-gateway/src/send.rs
@@ -1,4 +1,4 @@
-//! One send of a caller's request to a backend server.
+//! Sends a caller's request to one backend server, up to the head of the response.
 
 use std::io;
 use std::net::SocketAddr;
@@ -21,61 +21,61 @@
 use crate::liveness;
 use crate::reply::{self, Body};
 
-/// The longest wait for a new connection; within a data centre it takes a few milliseconds.
+/// Time limit for opening a connection; within a data centre it takes a few milliseconds.
 const CONNECT_TIMEOUT: Millis = Millis(250);
 
-/// A caller's request, read whole.
+/// A caller's request, with its complete body and the route that it takes.
 #[derive(Debug)]
 pub struct Job {
-    /// Its head.
+    /// The decoded head.
     pub call: Call,
-    /// What the configuration makes of it.
+    /// Route, service and workspace that the configuration assigns to it.
     pub plan: Plan,
-    /// The method.
+    /// HTTP method, forwarded unchanged.
     pub method: Method,
-    /// The path and query, as they came.
+    /// Path and query, forwarded unchanged.
     pub uri: Uri,
-    /// The headers that every send has.
+    /// Headers sent with every attempt.
     pub headers: HeaderMap,
-    /// The body.
+    /// The complete body.
     pub body: Bytes,
-    /// When the request came.
+    /// When the head of the request arrived.
     pub received: Millis,
-    /// When its answer is of no more use.
+    /// When the caller's time limit ends; no attempt continues after it.
     pub deadline: Millis,
-    /// Counts the request while its answer is not whole.
+    /// Counts the request as in flight until its response is complete.
     pub guard: InFlight,
 }
 
-/// What a stream adds to a send.
+/// Additions to a send that only streams have.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StreamOptions<'a> {
-    /// The last event that the caller holds.
+    /// Id of the last event that the caller has; `None` from the beginning.
     pub last_event: Option<u64>,
-    /// Where the run's memory is to be copied.
+    /// Address of the backup server to which the KV cache is to be copied.
     pub backup_to: Option<SocketAddr>,
-    /// Where a copy of an earlier run's memory lies.
+    /// KV cache backup of an earlier attempt, from which this one resumes.
     pub backup: Option<&'a KvBackup>,
 }
 
-/// The head of an answer that belongs to the request, and what it says.
+/// A response that belongs to the request, whose head has been received and checked.
 #[derive(Debug)]
 pub struct OpenResponse {
-    /// The answer; its body is not read yet.
+    /// The response; its body is not read yet.
     pub response: Response<Incoming>,
-    /// What its head says.
+    /// The decoded head.
     pub head: Head,
-    /// The connection on which it comes.
+    /// The connection on which the body arrives.
     pub link: Link,
 }
 
 impl Job {
-    /// The time that is left for the caller.
+    /// Time left until the deadline; 0 once it has passed.
     pub fn time_left(&self, now: Millis) -> Millis {
         self.deadline.since(now)
     }
 
-    /// What is to be done after a send that ended with `outcome`; waits for a repeat if one is needed.
+    /// The next step after a send that ended with `outcome`; waits for the retry budget if a retry is needed.
     pub async fn next_action(
         &self,
         ctx: &Context,
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Waits before the request is sent again after a rejection; returns whether there is time.
+    /// Waits for the backoff after a rejection; returns `false` at once if there is no time for another send.
     pub async fn back_off(&self, ctx: &Context, history: &SendHistory) -> bool {
         let age = ctx.now().since(self.received);
         match history.backoff(age, self.deadline.since(self.received)) {
@@ -102,7 +102,7 @@
         }
     }
 
-    /// The request for one server.
+    /// The request as sent to the leased server.
     fn build_request(
         &self,
         now: Millis,
@@ -127,11 +127,11 @@
     }
 }
 
-/// Sends a request to the server of `lease` and waits for the head of the answer.
+/// Sends a request to the leased server and waits for the head of the response; counts and logs the outcome.
 ///
 /// # Errors
 ///
-/// The outcome, if there is no answer that belongs to the request and comes from a server that ran it.
+/// The outcome, unless a response to this request arrives from a server that ran it.
 pub async fn send_request(
     ctx: &Arc<Context>,
     job: &Job,
@@ -153,6 +153,7 @@
     result
 }
 
+/// Sends a request, receives the head of the response and checks it.
 async fn exchange_heads(
     ctx: &Arc<Context>,
     job: &Job,
@@ -176,7 +177,7 @@
         return Err(Outcome::Broken);
     }
     if let Some(new) = &head.answered_by {
-        // The rest of this answer must be read before the connection carries another request.
+        // The body must be read to its end before the connection can carry another request.
         if body.collect().await.is_ok() {
             liveness::adopt(ctx, &lease.id, new, &mut link).await;
         }
@@ -196,7 +197,7 @@
     })
 }
 
-/// A connection for a send; a server that cannot be reached is left out.
+/// Connects to the leased server; marks it as unreachable if that fails.
 async fn connect_leased(ctx: &Arc<Context>, lease: &Lease) -> Result<Link, Outcome> {
     match connect(ctx, &lease.id, lease.addr, CONNECT_TIMEOUT, "request").await {
         Ok(link) => Ok(link),
@@ -208,11 +209,11 @@
     }
 }
 
-/// An idle connection to a server, or a new one, which is counted under `cause`.
+/// Takes an idle connection to a server, or opens a new one, which is counted under `cause`.
 ///
 /// # Errors
 ///
-/// The system's error, or `TimedOut` after `limit`.
+/// The operating system's error, or `TimedOut` after `timeout`.
 pub async fn connect(
     ctx: &Context,
     id: &BackendId,
@@ -227,21 +228,21 @@
     Link::open(addr, timeout).await
 }
 
-/// What a caller is told whose request no server answered.
+/// Error texts for a caller whose request no server answered.
 #[derive(Clone, Copy, Debug)]
 pub struct FailureTexts {
-    /// If it has not run.
+    /// For a request that has not run.
     pub not_run: &'static str,
-    /// When the caller may come back then, in milliseconds.
+    /// Time after which the caller may retry a request that has not run, in milliseconds.
     pub retry_ms: u64,
-    /// If time ran out.
+    /// For a request whose time limit has passed.
     pub timeout: &'static str,
-    /// If its server was lost.
+    /// For a request whose server failed; it may have run.
     pub lost: &'static str,
 }
 
 impl Job {
-    /// Answers a request that no server answered.
+    /// The error response for a request that no server answered; logs and counts its end as `cause`.
     pub fn answer_failure(
         &self,
         ctx: &Context,
--- a/crates/gooseberry-gateway/src/streams.rs
+++ b/crates/gooseberry-gateway/src/streams.rs
@@ -1,4 +1,7 @@
-//! Requests whose answers are streams of events, which go on at another server after a loss.
+//! Streaming requests: forwards events to the caller, and resumes at another server when an attempt fails.
+//!
+//! Each attempt runs at one server. The next attempt resumes after the last event forwarded: from the KV cache
+//! backup if there is a usable one, otherwise from the prompt. The caller gets each event once and in order.
 
 use std::sync::Arc;
 
@@ -25,25 +28,25 @@
 use crate::reply::{Body, StreamCut};
 use crate::send::{self, FailureTexts, Job, OpenResponse, StreamOptions};
 
-/// What a caller is told whose stream gave no event.
+/// Error texts for a caller whose stream produced no event.
 const FAILURE_TEXTS: FailureTexts = FailureTexts {
-    not_run: "no backend server could take the stream; it has not run, come back later",
+    not_run: "no backend server could take the stream; the request has not run, retry later",
     retry_ms: 500,
-    timeout: "no event came within the time limit; ask again",
-    lost: "the stream was lost before its first event; ask again",
+    timeout: "no event arrived within the time limit; send the request again",
+    lost: "the backend server failed before the first event; send the request again",
 };
 
-/// The silence between events after which a server is asked whether it is there.
+/// Time without an event or other data from a server after which it is probed.
 const PROBE_IDLE: Millis = Millis(300);
 
-/// How long a server of a silent stream may take to accept a connection.
+/// Time limit for the server of an idle stream to accept a connection.
 const PROBE_TIMEOUT: Millis = Millis(150);
 
-/// The silence between events that is taken as a loss although the server is there: at least the
-/// first, at most the second.
+/// Lower and upper bound of the time without an event after which the attempt counts as failed although the
+/// server is reachable.
 const STALL_RANGE_MS: (u64, u64) = (1_000, 1_500);
 
-/// A run of the stream at one server.
+/// An attempt to run the stream at one server, from its first event on.
 struct Attempt {
     body: Incoming,
     splitter: Splitter,
@@ -53,7 +56,7 @@
     backup_task: Option<BackupTask>,
 }
 
-/// A stream on its way to the caller.
+/// State of a stream over all its attempts.
 struct StreamState {
     ctx: Arc<Context>,
     job: Arc<Job>,
@@ -62,21 +65,21 @@
     avoid: Vec<BackendId>,
     progress: Progress,
     attempt: Option<Attempt>,
-    /// The first event, read before the head of the answer was passed on.
+    /// First event of the current attempt until it is forwarded; it is read before the attempt counts as started.
     first_event: Option<Event>,
-    /// The copy of the memory of the run that was lost last.
+    /// KV cache backup of the last failed attempt, from which the next one resumes.
     backup: Option<Backup>,
 }
 
-/// Why a run gives no more events.
+/// Reason why an attempt yields no more events.
 enum AttemptEnd {
-    /// The answer is whole.
+    /// The stream is complete.
     Complete,
-    /// The run is lost.
+    /// The attempt failed.
     Failed(Outcome),
 }
 
-/// Runs a stream and answers its caller once its first event has come.
+/// Runs a stream; returns the response once the first event has arrived, or an error response.
 pub async fn run(ctx: Arc<Context>, job: Arc<Job>) -> Response<Body> {
     let mut state = StreamState::new(ctx, job);
     loop {
@@ -119,17 +122,20 @@
         }
     }
 
-    /// What is to be done after a send that failed.
+    /// The next step after an attempt that ended with `outcome`; may wait for the retry budget.
     async fn next_action(&mut self, outcome: Outcome) -> Action {
         self.job
             .next_action(&self.ctx, &mut self.history, outcome)
             .await
     }
 
-    /// Starts a run at some server and waits for its first event.
+    /// Starts an attempt and waits for its first event; returns the headers of the server's response.
     ///
-    /// A copy of the memory of the run before is used if there is one. Returns the headers of the
-    /// answer; `Err(None)` if no server can be had.
+    /// Uses up the KV cache backup of the previous attempt, if there is one, and then runs at the backup server.
+    ///
+    /// # Errors
+    ///
+    /// The outcome of the attempt; `None` if no server is available.
     async fn start_attempt(&mut self) -> Result<HeaderMap, Option<Outcome>> {
         let now = self.ctx.now();
         let backup = self.backup.take();
@@ -188,7 +194,7 @@
         Ok(parts.headers)
     }
 
-    /// Answers the caller with the head of the first run and the events of all.
+    /// The response: the headers of the first attempt and the events of all attempts.
     fn into_response(self, headers: HeaderMap) -> Response<Body> {
         let seconds = self.ctx.now().since(self.job.received).0 as f64 / 1_000.0;
         let cause = self.job.plan.route.kind.into();
@@ -210,7 +216,7 @@
         response
     }
 
-    /// The next bytes for the caller; `None` after the last.
+    /// The next event to be forwarded, as bytes; `None` after the last one.
     async fn next_bytes(&mut self) -> Result<Option<Bytes>, StreamCut> {
         loop {
             match self.read_event().await {
@@ -228,7 +234,7 @@
         }
     }
 
-    /// The next event of the current run.
+    /// Reads the next event of the current attempt.
     async fn read_event(&mut self) -> Result<Event, AttemptEnd> {
         if let Some(event) = self.first_event.take() {
             return Ok(event);
@@ -254,10 +260,10 @@
         }
     }
 
-    /// Continues the stream at another server.
+    /// Resumes the stream at another server after an attempt that ended with `outcome`.
     async fn resume(&mut self, mut outcome: Outcome) -> Result<(), StreamCut> {
         if self.job.time_left(self.ctx.now()) == Millis(0) {
-            // The caller's time is over, which says nothing of the server.
+            // The caller's time limit has passed; this is no failure of the server.
             return Err(self.cut_off("timeout"));
         }
         let idle_since = self.progress.idle_since();
@@ -293,7 +299,7 @@
         }
     }
 
-    /// Ends the current run; the copy of its memory remains to go on from.
+    /// Ends the current attempt as failed; keeps its KV cache backup for the next one.
     fn abandon_attempt(&mut self, outcome: Outcome) {
         let Some(attempt) = self.attempt.take() else {
             return;
@@ -302,14 +308,15 @@
         liveness::handle_failure(&self.ctx, &attempt.lease.id);
         tracing::info!(
             id = %self.job.call.id, server = %attempt.lease.id, %outcome, last = ?self.progress.last_id(),
-            silence_ms = now.since(self.progress.idle_since()).0, "run lost"
+            silence_ms = now.since(self.progress.idle_since()).0, "stream attempt failed"
         );
         self.avoid.push(attempt.lease.id.clone());
         self.backup = attempt.backup_task.and_then(BackupTask::into_backup);
     }
 
+    /// Logs and counts a resumed stream; `cause` names the source, `silence` is the gap that the caller sees.
     fn record_resume(&self, cause: &'static str, silence: Millis) {
-        let server = self.attempt.as_ref().map_or("", |r| r.lease.id.as_str());
+        let server = self.attempt.as_ref().map_or("", |a| a.lease.id.as_str());
         tracing::info!(
             id = %self.job.call.id, server, source = cause, silence_ms = silence.0,
             last = ?self.progress.last_id(), "stream resumed"
@@ -323,7 +330,7 @@
             .observe(seconds);
     }
 
-    /// The stream is whole.
+    /// Records the end of a complete stream and keeps its connection for reuse.
     fn complete(&mut self) {
         let Some(attempt) = self.attempt.take() else {
             return;
@@ -342,7 +349,7 @@
         );
     }
 
-    /// The stream cannot go on.
+    /// Records the end of a stream that cannot be resumed; the error returned closes the caller's connection.
     fn cut_off(&mut self, cause: &'static str) -> StreamCut {
         self.attempt = None;
         self.job
@@ -350,12 +357,13 @@
         StreamCut
     }
 
-    /// Answers a caller who got no event.
+    /// The error response for a stream that produced no event.
     fn answer_failure(&self, action: Action, cause: &'static str) -> Response<Body> {
         self.job
             .answer_failure(&self.ctx, action, cause, &FAILURE_TEXTS)
     }
 
+    /// Leases a server for an attempt that starts from the prompt.
     async fn place(&self) -> Option<Lease> {
         let request = PlacementRequest {
             service: self.job.plan.service.as_str(),
@@ -372,7 +380,7 @@
         polling::place(&self.ctx, &request).await
     }
 
-    /// A server in another data centre for a copy of the run's memory.
+    /// Leases a server for the KV cache backup of the attempt at `lease`; `None` without backups or a usable server.
     async fn place_backup(&self, lease: &Lease, is_resuming: bool) -> Option<Lease> {
         if !self.kv.has_backups {
             return None;
@@ -381,12 +389,13 @@
         avoid.push(lease.id.clone());
         let (ctx, job, centre) = (&self.ctx, &self.job, &lease.centre);
         if is_resuming {
-            // The caller is waiting; the keeper checks the server once the stream goes on.
+            // The caller is waiting; the backup task probes the server once the stream has resumed.
             return backups::place(ctx, job, self.kv, centre, &avoid);
         }
         backups::place_reachable(ctx, job, self.kv, centre, &avoid).await
     }
 
+    /// Load of an attempt; `has_prefill` unless it resumes from a KV cache backup.
     fn load(&self, has_prefill: bool) -> Load {
         Load {
             prefill: if has_prefill { self.kv.prompt } else { 0 },
@@ -397,9 +406,9 @@
     }
 }
 
-/// Opens a stream and waits for its first event.
+/// Sends a stream's request and waits for its first event.
 ///
-/// A caller that goes on with a stream may hold all of it already; the answer then has no event.
+/// There is no event if the stream is resumed and the caller already has all of it.
 async fn first_event(
     ctx: &Arc<Context>,
     job: &Job,
@@ -419,7 +428,7 @@
     Ok((opened, splitter, event))
 }
 
-/// The next whole event of a body; `None` at its end.
+/// Reads the next complete event of a body; `None` at its end.
 async fn next_event(
     body: &mut Incoming,
     splitter: &mut Splitter,
@@ -441,10 +450,10 @@
     }
 }
 
-/// Waits until the server of a stream without events since `heard` is found to be gone.
+/// Waits until the server of a stream without events since `idle_since` fails a probe.
 async fn until_unreachable(ctx: &Context, id: &BackendId, idle_since: Millis) {
     loop {
-        // Another stream of the server may have had events meanwhile.
+        // The server may have sent events of another stream meanwhile.
         ctx.timer
             .at(probe_time(idle_since, ctx.servers.last_activity(id)))
             .await;
@@ -454,13 +463,13 @@
     }
 }
 
-/// When a server is asked whether it is there, of a stream whose last event came at `event` and that
-/// itself was heard last at `server`, in whatever way.
+/// When to probe the server of a stream: `last_event` is the time of the stream's last event, `last_activity`
+/// the time of the last data from the server on any connection.
 pub fn probe_time(last_event: Millis, last_activity: Millis) -> Millis {
     last_event.max(last_activity) + PROBE_IDLE
 }
 
-/// What the request needs of the engines' memory.
+/// KV cache demand of the request; all zero for a service without engines.
 fn kv_demand(ctx: &Context, job: &Job) -> KvDemand {
     let snapshot = ctx.snapshot.load();
     let service = snapshot.as_ref().and_then(|s| s.service(&job.plan.service));
