--- a/crates/gooseberry-gateway/src/fleet.rs
+++ b/crates/gooseberry-gateway/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The backend servers as this host knows them: rows, load, health and idle connections.
+//! State of the backend servers at this host: registry rows, load, health and idle connections.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -13,81 +13,82 @@
 
 use crate::link::Link;
 
-/// The idle connections that are kept for one server.
+/// Maximum number of idle connections kept per server.
 const MAX_IDLE: usize = 8;
 
-/// How long an idle connection is kept where the server does not say; the shortest seen is 5 s.
-const IDLE: Millis = Millis(3_000);
+/// How long an idle connection is kept if the server states no idle timeout; the shortest timeout observed on
+/// servers is 5 s.
+const DEFAULT_IDLE: Millis = Millis(3_000);
 
-/// An idle connection is given up so long before the server closes it.
+/// An idle connection is dropped this long before the server would close it.
 const IDLE_MARGIN: Millis = Millis(700);
 
-/// How long another host's word that a server is gone counts.
-const DOUBT: Millis = Millis(1_000);
+/// How long another host's report that a server is unreachable stays valid.
+const SUSPICION_TTL: Millis = Millis(1_000);
 
-/// What this host knows of one server besides its row.
+/// State of one server beyond its registry row.
 #[derive(Debug, Default)]
 struct Server {
     load: Load,
     health: Health,
-    /// When bytes last came from it.
-    heard: Millis,
-    /// When it was last asked whether it is there.
-    asked: Millis,
-    /// When it was last found to be gone.
-    lost: Option<Millis>,
-    /// Until when another host's word that it is gone counts.
-    doubted: Millis,
-    /// Connections without a request, and until when they may be used.
+    /// When it last sent data or accepted a connection.
+    last_activity: Millis,
+    /// When it was last chosen for a probe because a neighbour failed.
+    last_probe: Millis,
+    /// When this host last found it unreachable or unresponsive; `None` if it never did.
+    last_failure: Option<Millis>,
+    /// Until when another host's report that it is unreachable is valid.
+    suspected_until: Millis,
+    /// Idle connections, each with the time until which it may be used.
     idle: Vec<(Link, Millis)>,
 }
 
-/// All backend servers.
+/// All backend servers, registered or with load of this host.
 #[derive(Debug, Default)]
 pub struct Fleet {
-    /// The rows of the registry.
+    /// The registered servers.
     pub roster: Roster,
     servers: Sorted<BackendId, Server>,
 }
 
-/// The backend servers, shared by the requests of a host.
+/// Handle to the fleet, shared by all requests of a host.
 #[derive(Clone, Debug, Default)]
 pub struct Servers(Arc<Mutex<Fleet>>);
 
-/// A server chosen for a request; its load is taken back when this is dropped.
+/// A server reserved for a request; its load is released when the lease is dropped.
 #[derive(Debug)]
 pub struct Lease {
     servers: Servers,
-    /// The server.
+    /// Id of the server.
     pub id: BackendId,
-    /// Where it takes requests.
+    /// Address on which it accepts requests.
     pub addr: SocketAddr,
-    /// Its data centre.
+    /// Data centre of the server.
     pub centre: DataCentre,
     load: Load,
 }
 
-/// What is to be placed.
+/// Requirements on the server for a request or a backup.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Want<'a> {
-    /// The service.
+pub struct PlacementRequest<'a> {
+    /// The service that the server must belong to.
     pub service: &'a str,
-    /// What the request adds to the load of its server.
+    /// Load that the request puts on its server.
     pub load: Load,
-    /// Tokens that a server's memory holds; 0 for a plain service.
+    /// Size of a server's KV cache in tokens; 0 for a plain service.
     pub capacity: u64,
-    /// Servers that are taken only if there is no other.
+    /// Servers chosen only if there is no other.
     pub avoid: &'a [BackendId],
-    /// A data centre that is taken only if there is no other.
+    /// Data centre whose servers are chosen only if there is no other.
     pub avoid_centre: Option<&'a str>,
-    /// A data centre whose servers are taken before others, if they have room.
+    /// Data centre whose servers are chosen before others, if they have room.
     pub prefer_centre: Option<&'a str>,
-    /// A hash of the prompt that is the same for each repeat of the request.
-    pub content: Option<u64>,
+    /// Hash of the prompt, which is the same for each retry; `None` for a request without a prompt.
+    pub prompt_hash: Option<u64>,
 }
 
-impl Want<'_> {
-    /// The memory that a generation needs, whose prompt is to be read.
+impl PlacementRequest<'_> {
+    /// KV cache that a generation needs which starts from its prompt.
     pub fn need(&self) -> Need {
         Need {
             memory: self.load.memory,
@@ -98,32 +99,37 @@
 }
 
 impl Servers {
-    /// The fleet, to be read or changed without waiting.
+    /// Locks the fleet; the guard must not be held across an await.
     pub fn lock(&self) -> MutexGuard<'_, Fleet> {
-        // No code panics while it holds the lock, and the counts are usable after one that did.
+        // No code panics while it holds the lock; even if it did, the counts would remain usable.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Chooses a server.
-    pub fn place(&self, now: Millis, want: &Want<'_>) -> Option<Lease> {
+    /// Chooses and leases a server; `None` if none is usable.
+    pub fn place(&self, now: Millis, request: &PlacementRequest<'_>) -> Option<Lease> {
         let mut fleet = self.lock();
-        let id = fleet.choose(now, want)?;
-        fleet.lease(self, id, want.load)
+        let id = fleet.choose(now, request)?;
+        fleet.lease(self, id, request.load)
     }
 
-    /// At most `count` servers for a request, the best first by what this host knows; none is taken.
-    pub fn shortlist(&self, now: Millis, want: &Want<'_>, count: usize) -> Vec<BackendId> {
-        self.lock().shortlist(now, want, count)
+    /// At most `count` servers for a request, the best first as far as this host knows, without a lease.
+    pub fn shortlist(
+        &self,
+        now: Millis,
+        request: &PlacementRequest<'_>,
+        count: usize,
+    ) -> Vec<BackendId> {
+        self.lock().shortlist(now, request, count)
     }
 
-    /// Tokens of prompts that this host has sent to a server and that have given no output yet.
+    /// Tokens of the prompts that this host has sent to a server and that have no output yet.
     pub fn prefill(&self, id: &BackendId) -> u64 {
         let fleet = self.lock();
         fleet.servers.get(id).map_or(0, |s| s.load.prefill)
     }
 
-    /// Takes the server of that id, if it may be used.
-    pub fn take(&self, now: Millis, id: &BackendId, load: Load) -> Option<Lease> {
+    /// Leases the given server; `None` if it may not take new requests.
+    pub fn lease(&self, now: Millis, id: &BackendId, load: Load) -> Option<Lease> {
         let mut fleet = self.lock();
         if !fleet.roster.get(id)?.is_usable(now) {
             return None;
@@ -131,59 +137,59 @@
         fleet.lease(self, id.clone(), load)
     }
 
-    /// Bytes came from a server.
-    pub fn heard(&self, id: &BackendId, now: Millis) {
+    /// Records that a server sent data or accepted a connection; clears other hosts' reports against it.
+    pub fn record_activity(&self, id: &BackendId, now: Millis) {
         if let Some(server) = self.lock().servers.get_mut(id) {
-            server.heard = now;
-            server.doubted = Millis(0);
+            server.last_activity = now;
+            server.suspected_until = Millis(0);
             server.health.record_answer();
         }
     }
 
-    /// When bytes last came from a server.
-    pub fn last_heard(&self, id: &BackendId) -> Millis {
+    /// When a server last sent data or accepted a connection; 0 if it never did.
+    pub fn last_activity(&self, id: &BackendId) -> Millis {
         let fleet = self.lock();
-        fleet.servers.get(id).map_or(Millis(0), |s| s.heard)
+        fleet.servers.get(id).map_or(Millis(0), |s| s.last_activity)
     }
 
-    /// A server is not reachable or fell silent.
-    pub fn lost(&self, id: &BackendId, now: Millis) {
+    /// Records that a server is unreachable or unresponsive; drops its idle connections.
+    pub fn record_unreachable(&self, id: &BackendId, now: Millis) {
         if let Some(server) = self.lock().servers.get_mut(id) {
             server.health.record_unreachable(now);
-            server.lost = Some(now);
+            server.last_failure = Some(now);
             server.idle.clear();
         }
     }
 
-    /// The address of a server that is listed and that no other has replaced.
+    /// Address of a server; `None` if it is not listed or another server has replaced it.
     pub fn addr(&self, id: &BackendId) -> Option<SocketAddr> {
         let fleet = self.lock();
         let member = fleet.roster.get(id)?;
         (!member.is_replaced).then_some(member.entry.addr)
     }
 
-    /// The service of a server.
+    /// Service of a server; `None` if it is not listed.
     pub fn service(&self, id: &BackendId) -> Option<ServiceName> {
         let fleet = self.lock();
         Some(fleet.roster.get(id)?.entry.service.clone())
     }
 
-    /// Whether the registry does not answer now.
-    pub fn is_away(&self) -> bool {
+    /// Whether the registry is unavailable at present.
+    pub fn is_registry_unavailable(&self) -> bool {
         self.lock().roster.is_unavailable()
     }
 
-    /// Whether a server has been there without a break since `since`, as far as is known.
-    pub fn is_sound(&self, id: &BackendId, since: Millis) -> bool {
+    /// Whether a server is listed, not replaced, and was not found unreachable since `since`.
+    pub fn is_up_since(&self, id: &BackendId, since: Millis) -> bool {
         let fleet = self.lock();
         let is_listed = fleet.roster.get(id).is_some_and(|m| !m.is_replaced);
-        let lost = fleet.servers.get(id).and_then(|s| s.lost);
-        is_listed && lost.is_none_or(|at| at < since)
+        let failure = fleet.servers.get(id).and_then(|s| s.last_failure);
+        is_listed && failure.is_none_or(|at| at < since)
     }
 
-    /// At most `limit` servers of the same service and data centre as `id` that are believed to be
-    /// there but were neither heard nor asked within `recent`; they count as asked now.
-    pub fn neighbours(
+    /// At most `limit` usable servers of the same service and data centre as `id` from which nothing was
+    /// received within `recent` and that were not probed in that time; records them as probed now.
+    pub fn neighbours_to_probe(
         &self,
         id: &BackendId,
         now: Millis,
@@ -192,43 +198,46 @@
     ) -> Vec<(BackendId, SocketAddr)> {
         let mut guard = self.lock();
         let fleet = &mut *guard;
-        let Some(lost) = fleet.roster.get(id).map(|m| m.entry.clone()) else {
+        let Some(failed) = fleet.roster.get(id).map(|m| m.entry.clone()) else {
             return Vec::new();
         };
         let mut found = Vec::new();
         for (id, member) in fleet.roster.iter() {
             let entry = &member.entry;
-            let is_neighbour = entry.service == lost.service && entry.centre == lost.centre;
+            let is_neighbour = entry.service == failed.service && entry.centre == failed.centre;
             if !is_neighbour || !member.is_usable(now) || found.len() == limit {
                 continue;
             }
             let server = fleet.servers.entry(id.clone(), Server::default);
-            let is_known = now.since(server.heard.max(server.asked)) < recent && now > recent;
-            if !is_known && !server.health.is_ejected(now) {
-                server.asked = now;
+            let is_recent =
+                now.since(server.last_activity.max(server.last_probe)) < recent && now > recent;
+            if !is_recent && !server.health.is_ejected(now) {
+                server.last_probe = now;
                 found.push((id.clone(), entry.addr));
             }
         }
         found
     }
 
-    /// Another host found a server to be gone at `at`; counts unless it was heard since.
-    pub fn doubt(&self, server: u32, at: Millis, now: Millis) {
+    /// Records another host's report that a server was unreachable at `at`, unless data arrived from it since.
+    ///
+    /// `server_hash` is the short hash of the server's id.
+    pub fn suspect(&self, server_hash: u32, at: Millis, now: Millis) {
         let mut guard = self.lock();
         let fleet = &mut *guard;
-        let named = fleet
+        let found = fleet
             .roster
             .iter()
-            .find(|(id, _)| short(id.as_str()) == server);
-        let Some((id, _)) = named else { return };
-        let held = fleet.servers.entry(id.clone(), Server::default);
-        if held.heard < at {
-            held.doubted = now + DOUBT;
+            .find(|(id, _)| short(id.as_str()) == server_hash);
+        let Some((id, _)) = found else { return };
+        let server_state = fleet.servers.entry(id.clone(), Server::default);
+        if server_state.last_activity < at {
+            server_state.suspected_until = now + SUSPICION_TTL;
         }
     }
 
-    /// An idle connection to a server, if there is a usable one.
-    pub fn idle(&self, id: &BackendId, now: Millis) -> Option<Link> {
+    /// Takes an idle connection to a server; `None` if there is no usable one.
+    pub fn take_idle(&self, id: &BackendId, now: Millis) -> Option<Link> {
         let mut fleet = self.lock();
         let server = fleet.servers.get_mut(id)?;
         server
@@ -237,9 +246,9 @@
         server.idle.pop().map(|(link, _)| link)
     }
 
-    /// Keeps a connection for a later request; `limit` is how long the server leaves it open.
-    pub fn keep(&self, id: &BackendId, link: Link, now: Millis, limit: Option<Millis>) {
-        let until = now + limit.map_or(IDLE, |l| l - IDLE_MARGIN);
+    /// Keeps a connection for a later request; `timeout` is the idle timeout that the server states.
+    pub fn keep_idle(&self, id: &BackendId, link: Link, now: Millis, timeout: Option<Millis>) {
+        let until = now + timeout.map_or(DEFAULT_IDLE, |t| t - IDLE_MARGIN);
         let mut fleet = self.lock();
         if let Some(server) = fleet.servers.get_mut(id)
             && server.idle.len() < MAX_IDLE
@@ -256,46 +265,51 @@
 }
 
 impl Fleet {
-    fn choose(&self, now: Millis, want: &Want<'_>) -> Option<BackendId> {
-        self.candidates(now, want, |candidates, wish| {
-            place(candidates, wish).into_iter().collect()
+    fn choose(&self, now: Millis, request: &PlacementRequest<'_>) -> Option<BackendId> {
+        self.candidates(now, request, |candidates, criteria| {
+            place(candidates, criteria).into_iter().collect()
         })
         .pop()
     }
 
-    fn shortlist(&self, now: Millis, want: &Want<'_>, count: usize) -> Vec<BackendId> {
-        self.candidates(now, want, |candidates, wish| {
-            shortlist(candidates, wish, count)
+    fn shortlist(
+        &self,
+        now: Millis,
+        request: &PlacementRequest<'_>,
+        count: usize,
+    ) -> Vec<BackendId> {
+        self.candidates(now, request, |candidates, criteria| {
+            shortlist(candidates, criteria, count)
         })
     }
 
-    /// The servers that `pick` chooses among those that may be used.
+    /// The servers that `pick` selects among the usable ones of the service, in its order.
     fn candidates(
         &self,
         now: Millis,
-        want: &Want<'_>,
+        request: &PlacementRequest<'_>,
         pick: impl Fn(&[Candidate<'_>], &PlaceRequest<'_>) -> Vec<usize>,
     ) -> Vec<BackendId> {
         let members: Vec<(&BackendId, &Entry)> = self
             .roster
             .iter()
-            .filter(|(_, m)| m.entry.service.as_str() == want.service && m.is_usable(now))
+            .filter(|(_, m)| m.entry.service.as_str() == request.service && m.is_usable(now))
             .map(|(id, m)| (id, &m.entry))
             .collect();
         let candidates: Vec<Candidate<'_>> = members
             .iter()
-            .map(|(id, entry)| self.candidate(now, id, entry, want.capacity))
+            .map(|(id, entry)| self.candidate(now, id, entry, request.capacity))
             .collect();
-        let avoid: Vec<&str> = want.avoid.iter().map(BackendId::as_str).collect();
-        let wish = PlaceRequest {
-            memory: want.load.memory + want.load.backups,
+        let avoid: Vec<&str> = request.avoid.iter().map(BackendId::as_str).collect();
+        let criteria = PlaceRequest {
+            memory: request.load.memory + request.load.backups,
             avoid: &avoid,
-            avoid_centre: want.avoid_centre,
-            prefer_centre: want.prefer_centre,
+            avoid_centre: request.avoid_centre,
+            prefer_centre: request.prefer_centre,
             seed: rand::random(),
-            prompt_hash: want.content,
+            prompt_hash: request.prompt_hash,
         };
-        let chosen = pick(&candidates, &wish);
+        let chosen = pick(&candidates, &criteria);
         chosen.into_iter().map(|i| members[i].0.clone()).collect()
     }
 
@@ -311,7 +325,7 @@
             server: id.as_str(),
             data_centre: entry.centre.as_str(),
             is_ejected: server.is_some_and(|s| s.health.is_ejected(now)),
-            is_suspected: server.is_some_and(|s| now < s.doubted),
+            is_suspected: server.is_some_and(|s| now < s.suspected_until),
             load: server.map_or(Load::default(), |s| s.load),
             capacity,
         }
@@ -331,7 +345,7 @@
         Some(lease)
     }
 
-    /// Forgets servers whose rows are gone and that run nothing.
+    /// Removes servers that are no longer listed and have no load, and drops expired idle connections.
     pub fn sweep(&mut self, now: Millis) {
         self.roster.expire(now);
         let roster = &self.roster;
@@ -341,8 +355,8 @@
         });
     }
 
-    /// A server started anew: what is known of the one before no longer holds.
-    pub fn restarted(&mut self, id: &BackendId) {
+    /// Records that a server restarted: resets its health and drops the connections to its previous process.
+    pub fn record_restart(&mut self, id: &BackendId) {
         if let Some(server) = self.servers.get_mut(id) {
             server.idle.clear();
             server.health = Health::default();
@@ -351,13 +365,13 @@
 }
 
 impl Lease {
-    /// The first output came: the prompt has been read.
-    pub fn started(&mut self) {
-        let read = Load {
+    /// Records the first output: the prefill is complete, so its load is released.
+    pub fn record_first_output(&mut self) {
+        let prefill = Load {
             prefill: std::mem::take(&mut self.load.prefill),
             ..Load::default()
         };
-        self.servers.release(&self.id, read);
+        self.servers.release(&self.id, prefill);
     }
 }
 
--- a/crates/gooseberry-gateway/src/gossip.rs
+++ b/crates/gooseberry-gateway/src/gossip.rs
@@ -130,7 +130,7 @@
     let received = ctx.gossip().receive(now, from, &message);
     for failed in &received.failed {
         let at = now - Millis(u64::from(failed.age));
-        ctx.servers.doubt(failed.server, at, now);
+        ctx.servers.suspect(failed.server, at, now);
     }
     if received.answers_digest {
         apply_shared_usage(ctx, now);
--- a/crates/gooseberry-gateway/src/lib.rs
+++ b/crates/gooseberry-gateway/src/lib.rs
@@ -4,9 +4,9 @@
 //! input and output. Its decisions are made in `routing`, `relay`, `balance` and `membership`; the wire
 //! formats of the platform are in `platform`.
 
+pub mod backups;
 pub mod calls;
 pub mod context;
-pub mod copies;
 pub mod feed;
 pub mod fleet;
 pub mod gossip;
@@ -14,7 +14,7 @@
 pub mod link;
 pub mod liveness;
 pub mod metrics;
-pub mod probe;
+pub mod polling;
 pub mod reply;
 pub mod run;
 pub mod send;
--- a/crates/gooseberry-gateway/src/run.rs
+++ b/crates/gooseberry-gateway/src/run.rs
@@ -162,7 +162,7 @@
     tasks.spawn(serve_operators(Arc::clone(&ctx), ready, readiness));
     let text = move |ctx: &Context| {
         ctx.metrics.dropped_lines.set(dropped_lines());
-        Response::new(reply::whole(ctx.metrics.text()))
+        Response::new(reply::full(ctx.metrics.text()))
     };
     tasks.spawn(serve_operators(Arc::clone(&ctx), metrics, text));
     let store = store();
@@ -246,7 +246,7 @@
 /// The answer to the load balancer's readiness check.
 fn readiness(ctx: &Context) -> Response<Body> {
     let is_ready = ctx.is_ready();
-    let mut response = Response::new(reply::whole(if is_ready { "ready" } else { "not ready" }));
+    let mut response = Response::new(reply::full(if is_ready { "ready" } else { "not ready" }));
     if !is_ready {
         *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
     }
--- a/crates/gooseberry-gateway/src/serve.rs
+++ b/crates/gooseberry-gateway/src/serve.rs
@@ -104,8 +104,8 @@
                     let timeout = plan.route.timeout;
                     let time_limit = call.time_limit.unwrap_or(timeout).min(timeout);
                     let job = Job {
-                        until: since + time_limit,
-                        since,
+                        deadline: since + time_limit,
+                        received: since,
                         call,
                         plan,
                         method: head.method,
@@ -114,7 +114,7 @@
                         body: body.to_bytes(),
                         guard,
                     };
-                    ctx.earn(&job);
+                    ctx.record_request(&job);
                     run(&ctx, job).await
                 }
             }
@@ -276,7 +276,7 @@
         status: StatusCode,
         server: Option<&BackendId>,
     ) {
-        let took = ctx.now().since(self.since);
+        let took = ctx.now().since(self.received);
         let kind: &'static str = self.plan.route.kind.into();
         tracing::info!(
             id = %self.call.id, route = %self.plan.route.name, kind, version = self.plan.version.0,
--- a/crates/gooseberry-gateway/src/streams.rs
+++ b/crates/gooseberry-gateway/src/streams.rs
@@ -1,4 +1,7 @@
-//! Requests whose answers are streams of events, which go on at another server after a loss.
+//! Streaming requests: forwards events to the caller, and resumes at another server when an attempt fails.
+//!
+//! Each attempt runs at one server. The next attempt resumes after the last event forwarded: from the KV cache
+//! backup if there is a usable one, otherwise from the prompt. The caller gets each event once and in order.
 
 use std::sync::Arc;
 
@@ -15,148 +18,155 @@
 use relay::{Action, Event, EventAction, Outcome, Progress, SendHistory, Splitter};
 use routing::Kind;
 
+use crate::backups::{self, Backup, BackupTask, KvDemand};
 use crate::context::Context;
-use crate::copies::{self, Held, Keeper, Memory};
-use crate::fleet::{Lease, Want};
+use crate::fleet::{Lease, PlacementRequest};
 use crate::link::Link;
 use crate::liveness;
 use crate::metrics::Cause;
-use crate::probe;
-use crate::reply::{Body, Cut};
-use crate::send::{self, Extra, Job, Opened, Unanswered};
+use crate::polling;
+use crate::reply::{Body, StreamCut};
+use crate::send::{self, FailureTexts, Job, OpenResponse, StreamOptions};
 
-/// What a caller is told whose stream gave no event.
-const UNANSWERED: Unanswered = Unanswered {
-    refused: "no backend server could take the stream; it has not run, come back later",
-    after_ms: 500,
-    timeout: "no event came within the time limit; ask again",
-    lost: "the stream was lost before its first event; ask again",
+/// Error texts for a caller whose stream produced no event.
+const FAILURE_TEXTS: FailureTexts = FailureTexts {
+    not_run: "no backend server could take the stream; the request has not run, retry later",
+    retry_ms: 500,
+    timeout: "no event arrived within the time limit; send the request again",
+    lost: "the backend server failed before the first event; send the request again",
 };
 
-/// The silence between events after which a server is asked whether it is there.
-const ASK_AFTER: Millis = Millis(300);
+/// Time without an event or other data from a server after which it is probed.
+const PROBE_IDLE: Millis = Millis(300);
 
-/// How long a server of a silent stream may take to accept a connection.
-const ASK_LIMIT: Millis = Millis(150);
+/// Time limit for the server of an idle stream to accept a connection.
+const PROBE_TIMEOUT: Millis = Millis(150);
 
-/// The silence between events that is taken as a loss although the server is there: at least the
-/// first, at most the second.
-const SILENCE_MS: (u64, u64) = (1_000, 1_500);
+/// Lower and upper bound of the time without an event after which the attempt counts as failed although the
+/// server is reachable.
+const STALL_RANGE_MS: (u64, u64) = (1_000, 1_500);
 
-/// A run of the stream at one server.
-struct Run {
+/// An attempt to run the stream at one server, from its first event on.
+struct Attempt {
     body: Incoming,
     splitter: Splitter,
     link: Link,
     head: Head,
     lease: Lease,
-    keeper: Option<Keeper>,
+    backup_task: Option<BackupTask>,
 }
 
-/// A stream on its way to the caller.
-struct Flow {
+/// State of a stream over all its attempts.
+struct StreamState {
     ctx: Arc<Context>,
     job: Arc<Job>,
-    memory: Memory,
-    tries: SendHistory,
+    kv: KvDemand,
+    history: SendHistory,
     avoid: Vec<BackendId>,
     progress: Progress,
-    run: Option<Run>,
-    /// The first event, read before the head of the answer was passed on.
-    first: Option<Event>,
-    /// The copy of the memory of the run that was lost last.
-    spare: Option<Held>,
+    attempt: Option<Attempt>,
+    /// First event of the current attempt until it is forwarded; it is read before the attempt counts as started.
+    first_event: Option<Event>,
+    /// KV cache backup of the last failed attempt, from which the next one resumes.
+    backup: Option<Backup>,
 }
 
-/// Why a run gives no more events.
-enum End {
-    /// The answer is whole.
-    Whole,
-    /// The run is lost.
-    Lost(Outcome),
+/// Reason why an attempt yields no more events.
+enum AttemptEnd {
+    /// The stream is complete.
+    Complete,
+    /// The attempt failed.
+    Failed(Outcome),
 }
 
-/// Runs a stream and answers its caller once its first event has come.
+/// Runs a stream; returns the response once the first event has arrived, or an error response.
 pub async fn run(ctx: Arc<Context>, job: Arc<Job>) -> Response<Body> {
-    let mut flow = Flow::new(ctx, job);
+    let mut state = StreamState::new(ctx, job);
     loop {
-        let outcome = match flow.begin().await {
-            Ok(headers) => return flow.answer(headers),
+        let outcome = match state.start_attempt().await {
+            Ok(headers) => return state.into_response(headers),
             Err(Some(outcome)) => outcome,
-            Err(None) => return flow.end(flow.tries.abandon(), "no_server"),
+            Err(None) => return state.answer_failure(state.history.abandon(), "no_server"),
         };
-        if outcome == Outcome::TimedOut && flow.job.left(flow.ctx.now()) == Millis(0) {
-            return flow.end(Action::ReportUnknown, "timeout");
+        if outcome == Outcome::TimedOut && state.job.time_left(state.ctx.now()) == Millis(0) {
+            return state.answer_failure(Action::ReportUnknown, "timeout");
         }
-        match flow.next(outcome).await {
+        match state.next_action(outcome).await {
             Action::Resend => {}
-            next => return flow.end(next, outcome.into()),
+            action => return state.answer_failure(action, outcome.into()),
         }
-        if outcome == Outcome::NotRun && !flow.job.pause(&flow.ctx, &flow.tries).await {
-            return flow.end(flow.tries.abandon(), outcome.into());
+        if outcome == Outcome::NotRun && !state.job.back_off(&state.ctx, &state.history).await {
+            return state.answer_failure(state.history.abandon(), outcome.into());
         }
     }
 }
 
-impl Flow {
+impl StreamState {
     fn new(ctx: Arc<Context>, job: Arc<Job>) -> Self {
         let policy = Policy {
-            floor_ms: SILENCE_MS.0,
-            ceiling_ms: SILENCE_MS.1,
+            floor_ms: STALL_RANGE_MS.0,
+            ceiling_ms: STALL_RANGE_MS.1,
             ..Policy::default()
         };
         let progress = Progress::new(ctx.now(), job.call.last_event, policy);
         Self {
-            memory: memory(&ctx, &job),
+            kv: kv_demand(&ctx, &job),
             ctx,
             job,
-            tries: SendHistory::default(),
+            history: SendHistory::default(),
             avoid: Vec::new(),
             progress,
-            run: None,
-            first: None,
-            spare: None,
+            attempt: None,
+            first_event: None,
+            backup: None,
         }
     }
 
-    /// What is to be done after a send that failed.
-    async fn next(&mut self, outcome: Outcome) -> Action {
-        self.job.after(&self.ctx, &mut self.tries, outcome).await
+    /// The next step after an attempt that ended with `outcome`; may wait for the retry budget.
+    async fn next_action(&mut self, outcome: Outcome) -> Action {
+        self.job
+            .next_action(&self.ctx, &mut self.history, outcome)
+            .await
     }
 
-    /// Starts a run at some server and waits for its first event.
+    /// Starts an attempt and waits for its first event; returns the headers of the server's response.
+    ///
+    /// Uses up the KV cache backup of the previous attempt, if there is one, and then runs at the backup server.
+    ///
+    /// # Errors
     ///
-    /// A copy of the memory of the run before is used if there is one. Returns the headers of the
-    /// answer; `Err(None)` if no server can be had.
-    async fn begin(&mut self) -> Result<HeaderMap, Option<Outcome>> {
+    /// The outcome of the attempt; `None` if no server is available.
+    async fn start_attempt(&mut self) -> Result<HeaderMap, Option<Outcome>> {
         let now = self.ctx.now();
-        let spare = self.spare.take();
-        let mut lease = match &spare {
-            Some(held) => self
+        let backup = self.backup.take();
+        let mut lease = match &backup {
+            Some(backup) => self
                 .ctx
                 .servers
-                .take(now, &held.holder.id, self.load(false))
+                .lease(now, &backup.server.id, self.load(false))
                 .ok_or(Some(Outcome::Unsent))?,
             None => self.place().await.ok_or(None)?,
         };
-        let holder = self.holder(&lease, self.progress.forwarded() > 0).await;
-        let extra = Extra {
+        let target = self
+            .place_backup(&lease, self.progress.forwarded() > 0)
+            .await;
+        let options = StreamOptions {
             last_event: self.progress.last_id(),
-            copy_to: holder.as_ref().map(|h| h.addr),
-            copy: spare.as_ref().map(|h| &h.copy),
+            backup_to: target.as_ref().map(|t| t.addr),
+            backup: backup.as_ref().map(|b| &b.handle),
         };
         let (ctx, job) = (Arc::clone(&self.ctx), Arc::clone(&self.job));
         tracing::info!(
-            id = %job.call.id, server = %lease.id, copy = holder.as_ref().map_or("", |h| h.id.as_str()),
-            from = ?extra.copy, last = ?extra.last_event, age_ms = now.since(job.since).0,
-            left_ms = job.left(now).0, version = job.plan.version.0, "stream placed"
+            id = %job.call.id, server = %lease.id, copy = target.as_ref().map_or("", |t| t.id.as_str()),
+            from = ?options.backup, last = ?options.last_event, age_ms = now.since(job.received).0,
+            left_ms = job.time_left(now).0, version = job.plan.version.0, "stream placed"
         );
         let id = lease.id.clone();
-        let left = job.left(now).duration();
+        let left = job.time_left(now).duration();
         let result = tokio::select! {
             biased;
-            result = first_event(&ctx, &job, &lease, &extra) => result,
-            () = liveness::gone(&ctx, &id) => Err(Outcome::TimedOut),
+            result = first_event(&ctx, &job, &lease, &options) => result,
+            () = liveness::until_unreachable(&ctx, &id) => Err(Outcome::TimedOut),
             () = tokio::time::sleep(left) => Err(Outcome::TimedOut),
         };
         let (opened, splitter, event) = match result {
@@ -166,37 +176,37 @@
                 return Err(Some(outcome));
             }
         };
-        lease.started();
+        lease.record_first_output();
         let (parts, body) = opened.response.into_parts();
-        let keeper = self.memory.copies.then(|| {
-            let held = holder.map(|h| Held::followed(h, now));
-            Keeper::start(&self.ctx, &self.job, self.memory, &lease, held)
+        let backup_task = self.kv.has_backups.then(|| {
+            let backup = target.map(|t| Backup::followed(t, now));
+            BackupTask::start(&self.ctx, &self.job, self.kv, &lease, backup)
         });
-        self.first = event;
-        self.run = Some(Run {
+        self.first_event = event;
+        self.attempt = Some(Attempt {
             body,
             splitter,
             link: opened.link,
             head: opened.head,
             lease,
-            keeper,
+            backup_task,
         });
         Ok(parts.headers)
     }
 
-    /// Answers the caller with the head of the first run and the events of all.
-    fn answer(self, headers: HeaderMap) -> Response<Body> {
-        let seconds = self.ctx.now().since(self.job.since).0 as f64 / 1_000.0;
+    /// The response: the headers of the first attempt and the events of all attempts.
+    fn into_response(self, headers: HeaderMap) -> Response<Body> {
+        let seconds = self.ctx.now().since(self.job.received).0 as f64 / 1_000.0;
         let cause = self.job.plan.route.kind.into();
         self.ctx
             .metrics
             .latency
             .get_or_create(&Cause { cause })
             .observe(seconds);
-        let frames = stream::unfold(Some(self), |flow| async {
-            let mut flow = flow?;
-            match flow.pull().await {
-                Ok(Some(bytes)) => Some((Ok(Frame::data(bytes)), Some(flow))),
+        let frames = stream::unfold(Some(self), |state| async {
+            let mut state = state?;
+            match state.next_bytes().await {
+                Ok(Some(bytes)) => Some((Ok(Frame::data(bytes)), Some(state))),
                 Ok(None) => None,
                 Err(cut) => Some((Err(cut), None)),
             }
@@ -206,104 +216,107 @@
         response
     }
 
-    /// The next bytes for the caller; `None` after the last.
-    async fn pull(&mut self) -> Result<Option<Bytes>, Cut> {
+    /// The next event to be forwarded, as bytes; `None` after the last one.
+    async fn next_bytes(&mut self) -> Result<Option<Bytes>, StreamCut> {
         loop {
-            match self.event().await {
+            match self.read_event().await {
                 Ok(event) => match self.progress.record(self.ctx.now(), &event) {
                     EventAction::Forward => return Ok(Some(event.bytes)),
                     EventAction::Drop => {}
                     EventAction::Gap => self.resume(Outcome::Broken).await?,
                 },
-                Err(End::Whole) => {
-                    self.finish();
+                Err(AttemptEnd::Complete) => {
+                    self.complete();
                     return Ok(None);
                 }
-                Err(End::Lost(outcome)) => self.resume(outcome).await?,
+                Err(AttemptEnd::Failed(outcome)) => self.resume(outcome).await?,
             }
         }
     }
 
-    /// The next event of the current run.
-    async fn event(&mut self) -> Result<Event, End> {
-        if let Some(event) = self.first.take() {
+    /// Reads the next event of the current attempt.
+    async fn read_event(&mut self) -> Result<Event, AttemptEnd> {
+        if let Some(event) = self.first_event.take() {
             return Ok(event);
         }
-        let Some(run) = &mut self.run else {
-            return Err(End::Lost(Outcome::Broken));
+        let Some(attempt) = &mut self.attempt else {
+            return Err(AttemptEnd::Failed(Outcome::Broken));
         };
-        let until = self.progress.stall_deadline().min(self.job.until);
+        let deadline = self.progress.stall_deadline().min(self.job.deadline);
         tokio::select! {
             biased;
-            event = next_event(&mut run.body, &mut run.splitter) => match event {
+            event = next_event(&mut attempt.body, &mut attempt.splitter) => match event {
                 Ok(Some(event)) => {
-                    self.ctx.servers.heard(&run.lease.id, self.ctx.now());
+                    self.ctx.servers.record_activity(&attempt.lease.id, self.ctx.now());
                     Ok(event)
                 }
-                Ok(None) => Err(End::Whole),
-                Err(outcome) => Err(End::Lost(outcome)),
+                Ok(None) => Err(AttemptEnd::Complete),
+                Err(outcome) => Err(AttemptEnd::Failed(outcome)),
             },
-            () = self.ctx.timer.at(until) => Err(End::Lost(Outcome::TimedOut)),
-            () = silent(&self.ctx, &run.lease.id, self.progress.idle_since()) => {
-                Err(End::Lost(Outcome::TimedOut))
+            () = self.ctx.timer.at(deadline) => Err(AttemptEnd::Failed(Outcome::TimedOut)),
+            () = until_unreachable(&self.ctx, &attempt.lease.id, self.progress.idle_since()) => {
+                Err(AttemptEnd::Failed(Outcome::TimedOut))
             }
         }
     }
 
-    /// Continues the stream at another server.
-    async fn resume(&mut self, mut outcome: Outcome) -> Result<(), Cut> {
-        if self.job.left(self.ctx.now()) == Millis(0) {
-            // The caller's time is over, which says nothing of the server.
-            return Err(self.cut("timeout"));
+    /// Resumes the stream at another server after an attempt that ended with `outcome`.
+    async fn resume(&mut self, mut outcome: Outcome) -> Result<(), StreamCut> {
+        if self.job.time_left(self.ctx.now()) == Millis(0) {
+            // The caller's time limit has passed; this is no failure of the server.
+            return Err(self.cut_off("timeout"));
         }
-        let heard = self.progress.idle_since();
-        self.leave(outcome);
+        let idle_since = self.progress.idle_since();
+        self.abandon_attempt(outcome);
         loop {
-            if self.job.left(self.ctx.now()) == Millis(0) {
-                return Err(self.cut("timeout"));
+            if self.job.time_left(self.ctx.now()) == Millis(0) {
+                return Err(self.cut_off("timeout"));
             }
-            if self.next(outcome).await != Action::Resend {
-                return Err(self.cut(outcome.into()));
+            if self.next_action(outcome).await != Action::Resend {
+                return Err(self.cut_off(outcome.into()));
             }
-            let source = if self.spare.is_some() {
+            let source = if self.backup.is_some() {
                 "copy"
             } else {
                 "prompt"
             };
-            match self.begin().await {
+            match self.start_attempt().await {
                 Ok(_) => {
                     let now = self.ctx.now();
-                    self.resumed(source, now.since(heard));
+                    self.record_resume(source, now.since(idle_since));
                     self.progress.reset_idle_timer(now);
                     return Ok(());
                 }
                 Err(Some(failed)) => outcome = failed,
-                Err(None) => return Err(self.cut("no_server")),
+                Err(None) => return Err(self.cut_off("no_server")),
             }
             if outcome == Outcome::NotRun
                 && source == "prompt"
-                && !self.job.pause(&self.ctx, &self.tries).await
+                && !self.job.back_off(&self.ctx, &self.history).await
             {
-                return Err(self.cut(outcome.into()));
+                return Err(self.cut_off(outcome.into()));
             }
         }
     }
 
-    /// Ends the current run; the copy of its memory remains to go on from.
-    fn leave(&mut self, outcome: Outcome) {
-        let Some(run) = self.run.take() else { return };
+    /// Ends the current attempt as failed; keeps its KV cache backup for the next one.
+    fn abandon_attempt(&mut self, outcome: Outcome) {
+        let Some(attempt) = self.attempt.take() else {
+            return;
+        };
         let now = self.ctx.now();
-        liveness::lost(&self.ctx, &run.lease.id);
+        liveness::handle_failure(&self.ctx, &attempt.lease.id);
         tracing::info!(
-            id = %self.job.call.id, server = %run.lease.id, %outcome, last = ?self.progress.last_id(),
-            silence_ms = now.since(self.progress.idle_since()).0, "run lost"
+            id = %self.job.call.id, server = %attempt.lease.id, %outcome, last = ?self.progress.last_id(),
+            silence_ms = now.since(self.progress.idle_since()).0, "stream attempt failed"
         );
-        self.avoid.push(run.lease.id.clone());
-        self.spare = run.keeper.and_then(Keeper::take);
+        self.avoid.push(attempt.lease.id.clone());
+        self.backup = attempt.backup_task.and_then(BackupTask::into_backup);
     }
 
-    fn resumed(&self, cause: &'static str, silence: Millis) {
-        let server = self.run.as_ref().map_or("", |r| r.lease.id.as_str());
+    /// Logs and counts a resumed stream; `cause` names the source, `silence` is the gap that the caller sees.
+    fn record_resume(&self, cause: &'static str, silence: Millis) {
+        let server = self.attempt.as_ref().map_or("", |a| a.lease.id.as_str());
         tracing::info!(
             id = %self.job.call.id, server, source = cause, silence_ms = silence.0,
             last = ?self.progress.last_id(), "stream resumed"
@@ -317,96 +330,105 @@
             .observe(seconds);
     }
 
-    /// The stream is whole.
-    fn finish(&mut self) {
-        let Some(run) = self.run.take() else { return };
+    /// Records the end of a complete stream and keeps its connection for reuse.
+    fn complete(&mut self) {
+        let Some(attempt) = self.attempt.take() else {
+            return;
+        };
         let now = self.ctx.now();
-        if !run.head.closes {
+        if !attempt.head.closes {
             self.ctx
                 .servers
-                .keep(&run.lease.id, run.link, now, run.head.idle);
+                .keep_idle(&attempt.lease.id, attempt.link, now, attempt.head.idle);
         }
-        self.job
-            .record_end(&self.ctx, "answered", run.head.status, Some(&run.lease.id));
+        self.job.record_end(
+            &self.ctx,
+            "answered",
+            attempt.head.status,
+            Some(&attempt.lease.id),
+        );
     }
 
-    /// The stream cannot go on.
-    fn cut(&mut self, cause: &'static str) -> Cut {
-        self.run = None;
+    /// Records the end of a stream that cannot be resumed; the error returned closes the caller's connection.
+    fn cut_off(&mut self, cause: &'static str) -> StreamCut {
+        self.attempt = None;
         self.job
             .record_end(&self.ctx, cause, StatusCode::BAD_GATEWAY, None);
-        Cut
+        StreamCut
     }
 
-    /// Answers a caller who got no event.
-    fn end(&self, next: Action, cause: &'static str) -> Response<Body> {
-        self.job.end(&self.ctx, next, cause, &UNANSWERED)
+    /// The error response for a stream that produced no event.
+    fn answer_failure(&self, action: Action, cause: &'static str) -> Response<Body> {
+        self.job
+            .answer_failure(&self.ctx, action, cause, &FAILURE_TEXTS)
     }
 
+    /// Leases a server for an attempt that starts from the prompt.
     async fn place(&self) -> Option<Lease> {
-        let want = Want {
+        let request = PlacementRequest {
             service: self.job.plan.service.as_str(),
             load: self.load(true),
-            capacity: self.memory.capacity,
+            capacity: self.kv.capacity,
             avoid: &self.avoid,
             avoid_centre: None,
             prefer_centre: None,
-            content: self.job.call.size.and_then(|s| s.content_hash),
+            prompt_hash: self.job.call.size.and_then(|s| s.content_hash),
         };
-        if self.memory.capacity == 0 {
-            return self.ctx.servers.place(self.ctx.now(), &want);
+        if self.kv.capacity == 0 {
+            return self.ctx.servers.place(self.ctx.now(), &request);
         }
-        probe::place(&self.ctx, &want).await
+        polling::place(&self.ctx, &request).await
     }
 
-    /// A server in another data centre for a copy of the run's memory.
-    async fn holder(&self, lease: &Lease, is_urgent: bool) -> Option<Lease> {
-        if !self.memory.copies {
+    /// Leases a server for the KV cache backup of the attempt at `lease`; `None` without backups or a usable server.
+    async fn place_backup(&self, lease: &Lease, is_resuming: bool) -> Option<Lease> {
+        if !self.kv.has_backups {
             return None;
         }
         let mut avoid = self.avoid.clone();
         avoid.push(lease.id.clone());
         let (ctx, job, centre) = (&self.ctx, &self.job, &lease.centre);
-        if is_urgent {
-            // The caller is waiting; the keeper checks the server once the stream goes on.
-            return copies::place(ctx, job, self.memory, centre, &avoid);
+        if is_resuming {
+            // The caller is waiting; the backup task probes the server once the stream has resumed.
+            return backups::place(ctx, job, self.kv, centre, &avoid);
         }
-        copies::choose(ctx, job, self.memory, centre, &avoid).await
+        backups::place_reachable(ctx, job, self.kv, centre, &avoid).await
     }
 
-    fn load(&self, reads_prompt: bool) -> Load {
+    /// Load of an attempt; `has_prefill` unless it resumes from a KV cache backup.
+    fn load(&self, has_prefill: bool) -> Load {
         Load {
-            prefill: if reads_prompt { self.memory.prompt } else { 0 },
-            memory: self.memory.needed,
+            prefill: if has_prefill { self.kv.prompt } else { 0 },
+            memory: self.kv.needed,
             backups: 0,
             running: 1,
         }
     }
 }
 
-/// Opens a stream and waits for its first event.
+/// Sends a stream's request and waits for its first event.
 ///
-/// A caller that goes on with a stream may hold all of it already; the answer then has no event.
+/// There is no event if the stream is resumed and the caller already has all of it.
 async fn first_event(
     ctx: &Arc<Context>,
     job: &Job,
     lease: &Lease,
-    extra: &Extra<'_>,
-) -> Result<(Opened, Splitter, Option<Event>), Outcome> {
-    let mut opened = send::open(ctx, job, lease, extra).await?;
+    options: &StreamOptions<'_>,
+) -> Result<(OpenResponse, Splitter, Option<Event>), Outcome> {
+    let mut opened = send::send_request(ctx, job, lease, options).await?;
     if !opened.head.status.is_success() {
         return Err(Outcome::Failed);
     }
     let mut splitter = Splitter::default();
     let event = next_event(opened.response.body_mut(), &mut splitter).await?;
-    ctx.servers.heard(&lease.id, ctx.now());
-    if event.is_none() && extra.last_event.is_none() {
+    ctx.servers.record_activity(&lease.id, ctx.now());
+    if event.is_none() && options.last_event.is_none() {
         return Err(Outcome::Broken);
     }
     Ok((opened, splitter, event))
 }
 
-/// The next whole event of a body; `None` at its end.
+/// Reads the next complete event of a body; `None` at its end.
 async fn next_event(
     body: &mut Incoming,
     splitter: &mut Splitter,
@@ -428,37 +450,37 @@
     }
 }
 
-/// Waits until the server of a stream without events since `heard` is found to be gone.
-async fn silent(ctx: &Context, id: &BackendId, heard: Millis) {
+/// Waits until the server of a stream without events since `idle_since` fails a probe.
+async fn until_unreachable(ctx: &Context, id: &BackendId, idle_since: Millis) {
     loop {
-        // Another stream of the server may have had events meanwhile.
+        // The server may have sent events of another stream meanwhile.
         ctx.timer
-            .at(ask_at(heard, ctx.servers.last_heard(id)))
+            .at(probe_time(idle_since, ctx.servers.last_activity(id)))
             .await;
-        if !liveness::is_there(ctx, id, ASK_AFTER, ASK_LIMIT).await {
+        if !liveness::is_reachable(ctx, id, PROBE_IDLE, PROBE_TIMEOUT).await {
             return;
         }
     }
 }
 
-/// When a server is asked whether it is there, of a stream whose last event came at `event` and that
-/// itself was heard last at `server`, in whatever way.
-pub fn ask_at(event: Millis, server: Millis) -> Millis {
-    event.max(server) + ASK_AFTER
+/// When to probe the server of a stream: `last_event` is the time of the stream's last event, `last_activity`
+/// the time of the last data from the server on any connection.
+pub fn probe_time(last_event: Millis, last_activity: Millis) -> Millis {
+    last_event.max(last_activity) + PROBE_IDLE
 }
 
-/// What the request needs of the engines' memory.
-fn memory(ctx: &Context, job: &Job) -> Memory {
+/// KV cache demand of the request; all zero for a service without engines.
+fn kv_demand(ctx: &Context, job: &Job) -> KvDemand {
     let snapshot = ctx.snapshot.load();
     let service = snapshot.as_ref().and_then(|s| s.service(&job.plan.service));
     let Some(engine) = service.and_then(|s| s.engine) else {
-        return Memory::default();
+        return KvDemand::default();
     };
     let size = job.call.size.unwrap_or_default();
-    Memory {
+    KvDemand {
         capacity: engine.kv_capacity,
         needed: size.kv_tokens(),
         prompt: size.input,
-        copies: engine.has_backups && job.plan.route.kind == Kind::Resumable,
+        has_backups: engine.has_backups && job.plan.route.kind == Kind::Resumable,
     }
 }
--- a/crates/gooseberry-gateway/tests/shared_feed.rs
+++ b/crates/gooseberry-gateway/tests/shared_feed.rs
@@ -153,11 +153,13 @@
         });
     };
     outage(true);
-    site.until("the outage is detected", || other.ctx.servers.is_away())
-        .await;
+    site.until("the outage is detected", || {
+        other.ctx.servers.is_registry_unavailable()
+    })
+    .await;
     outage(false);
     site.until("the store is reachable again", || {
-        !other.ctx.servers.is_away()
+        !other.ctx.servers.is_registry_unavailable()
     })
     .await;
     change(&site, &other, next).await;
