--- a/crates/gooseberry-router/src/admin.rs
+++ b/crates/gooseberry-router/src/admin.rs
@@ -48,11 +48,11 @@
 /// All that the router believes.
 fn state(router: &Router) -> Value {
     let snapshot = router.snapshot();
-    let (journals, bytes) = router.shelf.size();
+    let (journals, bytes) = router.journals.size();
     let backends: Vec<Value> = snapshot
         .backends
         .iter()
-        .map(|b| json!({ "seen": b.seen, "own": b.own(), "health": b.health() }))
+        .map(|b| json!({ "seen": b.view, "own": b.in_flight(), "health": b.health() }))
         .collect();
     json!({
         "host": router.settings.host,
@@ -70,7 +70,7 @@
         "journals": {
             "count": journals,
             "bytes": bytes,
-            "held": router.shelf.summaries(),
+            "held": router.journals.summaries(),
         },
     })
 }
--- a/crates/gooseberry-router/src/admit.rs
+++ b/crates/gooseberry-router/src/admit.rs
@@ -16,13 +16,13 @@
 use crate::errors::{CallerError, Kind};
 
 /// The time between looks at what waits.
-const TICK: Millis = Millis(20);
+const TICK_INTERVAL: Millis = Millis(20);
 
 /// The greatest random addition to the time after which a caller is to come back.
-const SPREAD: Millis = Millis(1_000);
+const RETRY_JITTER: Millis = Millis(1_000);
 
 /// What the gate decided.
-type Verdict = Result<(), (Reason, Millis)>;
+type Decision = Result<(), (Reason, Millis)>;
 
 /// The gate of a router and the requests that wait at it.
 ///
@@ -36,14 +36,14 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    gate: Controller,
-    waiting: Sorted<u64, oneshot::Sender<Verdict>>,
+    controller: Controller,
+    waiting: Sorted<u64, oneshot::Sender<Decision>>,
     budgets: Sorted<ProfileName, RetryBudget>,
 }
 
 /// A request that asks to be run.
 #[derive(Clone, Copy, Debug)]
-pub struct Entry<'a> {
+pub struct AdmissionRequest<'a> {
     /// The profile.
     pub profile: &'a Profile,
     /// The workspace.
@@ -65,16 +65,16 @@
 }
 
 /// A request at the gate; dropped without an answer, it is forgotten.
-struct Ticket<'a> {
+struct WaitGuard<'a> {
     router: &'a Router,
     number: u64,
 }
 
-impl Drop for Ticket<'_> {
+impl Drop for WaitGuard<'_> {
     fn drop(&mut self) {
         let mut inner = self.router.admission.lock();
         if inner.waiting.remove(&self.number).is_some() {
-            inner.gate.cancel(self.number);
+            inner.controller.cancel(self.number);
         }
     }
 }
@@ -86,7 +86,7 @@
         let mut out = Vec::new();
         let mut inner = self.router.admission.lock();
         inner
-            .gate
+            .controller
             .release(now, &self.profile, &self.workspace, held, &mut out);
         inner.answer(out);
     }
@@ -97,48 +97,51 @@
 /// # Errors
 ///
 /// `Overloaded` if it was not run and will not be; it says when to come back.
-pub async fn admit(router: &Arc<Router>, entry: &Entry<'_>) -> Result<Permit, CallerError> {
+pub async fn admit(
+    router: &Arc<Router>,
+    request: &AdmissionRequest<'_>,
+) -> Result<Permit, CallerError> {
     let number = router.admission.last.fetch_add(1, Ordering::Relaxed);
-    let (sender, verdict) = oneshot::channel();
-    let _ticket = Ticket { router, number };
-    router.admission.ask(router, number, entry, sender);
+    let (sender, decision) = oneshot::channel();
+    let _guard = WaitGuard { router, number };
+    router.admission.enqueue(router, number, request, sender);
     let permit = || Permit {
         router: router.clone(),
-        profile: entry.profile.name.clone(),
-        workspace: entry.workspace.name.clone(),
+        profile: request.profile.name.clone(),
+        workspace: request.workspace.name.clone(),
         started: router.timer.now(),
     };
-    match verdict.await {
+    match decision.await {
         Ok(Ok(())) => Ok(permit()),
         Ok(Err((reason, after))) => Err(overloaded(reason, after)),
         // The gate answers each request before it forgets it.
-        Err(_) => Err(overloaded(Reason::Expired, SPREAD)),
+        Err(_) => Err(overloaded(Reason::Expired, RETRY_JITTER)),
     }
 }
 
 /// Looks for ever at what waits, so that nothing waits beyond its deadline.
-pub async fn watch(router: Arc<Router>) {
-    let mut ticks = router.timer.every(TICK);
+pub async fn tick_forever(router: Arc<Router>) {
+    let mut ticks = router.timer.every(TICK_INTERVAL);
     loop {
         let now = ticks.next().await;
-        if !router.admission.lock().gate.has_waiting() {
+        if !router.admission.lock().controller.has_waiting() {
             continue;
         }
         let snapshot = router.snapshot();
         let mut out = Vec::new();
         let mut inner = router.admission.lock();
         for profile in &snapshot.document.profiles {
-            let bounds = bounds::class(&router, &snapshot, profile);
-            inner.gate.set_profile(&profile.name, bounds);
+            let bounds = bounds::profile_bounds(&router, &snapshot, profile);
+            inner.controller.set_profile(&profile.name, bounds);
         }
-        inner.gate.tick(now, &mut out);
+        inner.controller.tick(now, &mut out);
         inner.answer(out);
     }
 }
 
 impl Admission {
     /// Takes one retry out of the budget of a profile, if there is one.
-    pub fn retry(&self, profile: &ProfileName) -> bool {
+    pub fn spend_retry(&self, profile: &ProfileName) -> bool {
         let mut inner = self.lock();
         let budget = inner.budgets.entry(profile.clone(), RetryBudget::default);
         budget.spend()
@@ -147,38 +150,44 @@
     /// The gate, for a state dump.
     pub fn dump(&self) -> Value {
         let inner = self.lock();
-        let classes = inner.gate.profiles();
+        let classes = inner.controller.profiles();
         json!({ "classes": classes, "waiting": inner.waiting.len() })
     }
 
-    fn ask(
+    fn enqueue(
         &self,
         router: &Router,
         ticket: u64,
-        entry: &Entry<'_>,
-        sender: oneshot::Sender<Verdict>,
+        request: &AdmissionRequest<'_>,
+        sender: oneshot::Sender<Decision>,
     ) {
         let snapshot = router.snapshot();
-        let class = bounds::class(router, &snapshot, entry.profile);
-        let space = bounds::space(router, &snapshot, entry.workspace);
-        let ask = Request {
+        let profile_bounds = bounds::profile_bounds(router, &snapshot, request.profile);
+        let workspace_bounds = bounds::workspace_bounds(router, &snapshot, request.workspace);
+        let arrival = Request {
             ticket,
-            profile: &entry.profile.name,
-            workspace: &entry.workspace.name,
-            cost: entry.cost,
-            deadline: entry.deadline,
-            is_admitted: entry.is_admitted,
+            profile: &request.profile.name,
+            workspace: &request.workspace.name,
+            cost: request.cost,
+            deadline: request.deadline,
+            is_admitted: request.is_admitted,
         };
         let mut out = Vec::new();
         let mut inner = self.lock();
         let budget = inner
             .budgets
-            .entry(ask.profile.clone(), RetryBudget::default);
-        budget.earn(entry.profile.retry.percent);
+            .entry(arrival.profile.clone(), RetryBudget::default);
+        budget.earn(request.profile.retry.percent);
         inner.waiting.insert(ticket, sender);
-        inner.gate.set_profile(ask.profile, class);
-        inner.gate.set_workspace(ask.workspace, space);
-        inner.gate.arrive(router.timer.now(), &ask, &mut out);
+        inner
+            .controller
+            .set_profile(arrival.profile, profile_bounds);
+        inner
+            .controller
+            .set_workspace(arrival.workspace, workspace_bounds);
+        inner
+            .controller
+            .arrive(router.timer.now(), &arrival, &mut out);
         inner.answer(out);
     }
 
@@ -191,7 +200,7 @@
     /// Tells those who wait what was decided.
     fn answer(&mut self, actions: Vec<Action>) {
         for action in actions {
-            let (ticket, verdict) = match action {
+            let (ticket, decision) = match action {
                 Action::Start(ticket) => (ticket, Ok(())),
                 Action::Refuse {
                     ticket,
@@ -201,7 +210,7 @@
             };
             if let Some(sender) = self.waiting.remove(&ticket) {
                 // A request waits until it is answered, or its ticket takes it out of the gate.
-                let _ = sender.send(verdict);
+                let _ = sender.send(decision);
             }
         }
     }
@@ -209,13 +218,13 @@
 
 /// The answer to a request that was not run.
 fn overloaded(reason: Reason, after: Millis) -> CallerError {
-    let spread = Millis(rand::random_range(0..SPREAD.0));
-    let seconds = (after + spread).0.div_ceil(1_000);
-    let what = match reason {
+    let jitter = Millis(rand::random_range(0..RETRY_JITTER.0));
+    let seconds = (after + jitter).0.div_ceil(1_000);
+    let cause = match reason {
         Reason::QueueFull => "too many requests wait",
         Reason::TooLate => "no start within the deadline can be had",
         Reason::Expired => "no place was free before the deadline",
     };
-    let message = format!("{what}; repeat the request after {seconds} s");
+    let message = format!("{cause}; repeat the request after {seconds} s");
     CallerError::not_run(Kind::Overloaded, message).retry_after(seconds)
 }
--- a/crates/gooseberry-router/src/admit/bounds.rs
+++ b/crates/gooseberry-router/src/admit/bounds.rs
@@ -13,22 +13,26 @@
 const UNLIMITED: u64 = u32::MAX as u64;
 
 /// What this router may do under a profile.
-pub(super) fn class(router: &Router, snapshot: &Snapshot, profile: &Profile) -> ProfileBounds {
-    let engines = carried(router, snapshot, profile);
+pub(super) fn profile_bounds(
+    router: &Router,
+    snapshot: &Snapshot,
+    profile: &Profile,
+) -> ProfileBounds {
+    let backends = capacity_share(router, snapshot, profile);
     let capacity = match profile.limits.running {
-        0 => engines,
-        limit => engines.min(part(router, snapshot, limit, true)),
+        0 => backends,
+        limit => backends.min(router_share(router, snapshot, limit, true)),
     };
     ProfileBounds {
         capacity,
         queue_limit: profile.limits.queued,
         priority: profile.priority,
-        first_output: first(router, snapshot, profile),
+        first_output: first_output_bound(router, snapshot, profile),
     }
 }
 
 /// What this router may do for a workspace.
-pub(super) fn space(
+pub(super) fn workspace_bounds(
     router: &Router,
     snapshot: &Snapshot,
     workspace: &Workspace,
@@ -37,7 +41,7 @@
         share: workspace.share,
         limit: match workspace.running {
             0 => 0,
-            limit => part(router, snapshot, limit, true),
+            limit => router_share(router, snapshot, limit, true),
         },
     }
 }
@@ -46,33 +50,33 @@
 ///
 /// Places that others leave free are divided anew: a router may go beyond its part by an equal
 /// share of what the load reports show as free.
-fn carried(router: &Router, snapshot: &Snapshot, profile: &Profile) -> u64 {
+fn capacity_share(router: &Router, snapshot: &Snapshot, profile: &Profile) -> u64 {
     let servers = servers(snapshot, profile);
-    if servers.clone().any(|b| b.seen.slots == 0) {
+    if servers.clone().any(|b| b.view.slots == 0) {
         return UNLIMITED;
     }
-    let slots: u64 = servers.clone().map(|b| b.seen.slots).sum();
+    let slots: u64 = servers.clone().map(|b| b.view.slots).sum();
     if slots == 0 {
         return 0;
     }
     let now = router.timer.now();
-    let free: u64 = servers.clone().map(|b| b.free(now)).sum();
-    let own: u64 = servers.map(Backend::own).sum();
+    let free: u64 = servers.clone().map(|b| b.free_slots(now)).sum();
+    let own: u64 = servers.map(Backend::in_flight).sum();
     let routers = snapshot.hosts.iter().filter(|h| h.alive).count().max(1) as u64;
-    part(router, snapshot, slots, false).max(own + free / routers)
+    router_share(router, snapshot, slots, false).max(own + free / routers)
 }
 
 /// The time within which first tokens come under a profile, at most half of its
 /// deadline.
-fn first(router: &Router, snapshot: &Snapshot, profile: &Profile) -> Millis {
+fn first_output_bound(router: &Router, snapshot: &Snapshot, profile: &Profile) -> Millis {
     let now = router.timer.now();
     let mut times: Vec<u64> = servers(snapshot, profile)
         .map(|b| b.health().latency_bound(now))
         .filter(|ms| *ms > 0)
         .collect();
     times.sort_unstable();
-    let high = times.get(times.len() * 9 / 10).copied().unwrap_or(0);
-    Millis(high.min(profile.deadline_ms / 2))
+    let p90 = times.get(times.len() * 9 / 10).copied().unwrap_or(0);
+    Millis(p90.min(profile.deadline_ms / 2))
 }
 
 /// The backend servers that work under a profile now.
@@ -81,21 +85,21 @@
     profile: &'a Profile,
 ) -> impl Iterator<Item = &'a Backend> + Clone {
     let document: &Document = &snapshot.document;
-    let is_one = move |b: &&Backend| {
-        let service = document.service(b.seen.service.as_str());
-        service.is_some_and(|s| s.profile == profile.name) && b.seen.alive && !b.seen.leaving
+    let is_usable = move |b: &&Backend| {
+        let service = document.service(b.view.service.as_str());
+        service.is_some_and(|s| s.profile == profile.name) && b.view.alive && !b.view.leaving
     };
-    snapshot.backends.iter().map(|b| &**b).filter(is_one)
+    snapshot.backends.iter().map(|b| &**b).filter(is_usable)
 }
 
 /// This router's part of a limit of its data centre, or of all data centres.
-fn part(router: &Router, snapshot: &Snapshot, limit: u64, is_near: bool) -> u64 {
+fn router_share(router: &Router, snapshot: &Snapshot, limit: u64, is_local: bool) -> u64 {
     let own = &router.settings;
-    let counts = |h: &&HostView| {
+    let is_counted = |h: &&HostView| {
         let is_live = h.alive && !h.leaving || h.host == own.host;
-        is_live && (!is_near || h.data_centre == own.data_centre)
+        is_live && (!is_local || h.data_centre == own.data_centre)
     };
-    let live: Vec<&HostView> = snapshot.hosts.iter().filter(counts).collect();
+    let live: Vec<&HostView> = snapshot.hosts.iter().filter(is_counted).collect();
     let rank = live.iter().position(|h| h.host == own.host);
     // A router that is not listed yet takes the last part.
     let rank = rank.unwrap_or(live.len());
--- a/crates/gooseberry-router/src/backends/outcome.rs
+++ b/crates/gooseberry-router/src/backends/stats.rs
@@ -10,8 +10,8 @@
 /// Two outcomes at the same moment may overwrite each other's share of the health, which is a
 /// smoothed figure; the counts are exact.
 #[derive(Debug, Default)]
-pub(super) struct Outcome {
-    own: AtomicU64,
+pub(super) struct ServerStats {
+    in_flight: AtomicU64,
     resumes: AtomicU64,
     first_ms: AtomicU64,
     spread_ms: AtomicU64,
@@ -20,21 +20,21 @@
     ejected: AtomicU64,
     returned: AtomicU64,
     /// Until when the server is passed over.
-    suspect: AtomicU64,
+    suspect_until: AtomicU64,
 }
 
-impl Outcome {
+impl ServerStats {
     /// Counts a request in.
-    pub(super) fn enter(&self, is_resume: bool) {
-        self.own.fetch_add(1, Ordering::Relaxed);
+    pub(super) fn begin(&self, is_resume: bool) {
+        self.in_flight.fetch_add(1, Ordering::Relaxed);
         if is_resume {
             self.resumes.fetch_add(1, Ordering::Relaxed);
         }
     }
 
     /// Counts a request out.
-    pub(super) fn leave(&self) {
-        self.own.fetch_sub(1, Ordering::Relaxed);
+    pub(super) fn end(&self) {
+        self.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
 
     /// A resumed request has gone on or was given up.
@@ -43,8 +43,8 @@
     }
 
     /// The requests running.
-    pub(super) fn own(&self) -> u64 {
-        self.own.load(Ordering::Relaxed)
+    pub(super) fn in_flight(&self) -> u64 {
+        self.in_flight.load(Ordering::Relaxed)
     }
 
     /// The resumed requests that have not gone on yet.
@@ -54,12 +54,12 @@
 
     /// Passes the server over until a time.
     pub(super) fn suspect(&self, until: Millis) {
-        self.suspect.store(until.0, Ordering::Relaxed);
+        self.suspect_until.store(until.0, Ordering::Relaxed);
     }
 
     /// Whether the server is passed over.
     pub(super) fn is_suspect(&self, now: Millis) -> bool {
-        self.suspect.load(Ordering::Relaxed) > now.0
+        self.suspect_until.load(Ordering::Relaxed) > now.0
     }
 
     /// The health as it stands.
@@ -75,7 +75,7 @@
     }
 
     /// Takes an outcome in.
-    pub(super) fn change(&self, change: impl FnOnce(&mut Health)) {
+    pub(super) fn update_health(&self, change: impl FnOnce(&mut Health)) {
         let mut health = self.health();
         change(&mut health);
         self.first_ms.store(health.first_ms, Ordering::Relaxed);
--- a/crates/gooseberry-router/src/caller.rs
+++ b/crates/gooseberry-router/src/caller.rs
@@ -37,7 +37,7 @@
 
 /// The place that a caller has reached in an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Reached {
+pub struct Position {
     /// The generation.
     pub generation: GenerationId,
     /// The offset of the next token.
@@ -72,13 +72,13 @@
 /// # Errors
 ///
 /// `Malformed` if it is not an event id of this system.
-pub fn reached(headers: &HeaderMap) -> Result<Option<Reached>, CallerError> {
+pub fn position(headers: &HeaderMap) -> Result<Option<Position>, CallerError> {
     let Some(value) = headers.get(LAST_EVENT_HEADER) else {
         return Ok(None);
     };
     let parsed = value.to_str().ok().and_then(parse_event_id);
     match parsed {
-        Some(reached) => Ok(Some(reached)),
+        Some(position) => Ok(Some(position)),
         None => Err(CallerError::not_run(
             Kind::Malformed,
             format!("`{LAST_EVENT_HEADER}` must be the `id` of an event, as 00000000000000a1:7"),
@@ -87,9 +87,9 @@
 }
 
 /// Reads `<generation>:<offset>`.
-fn parse_event_id(text: &str) -> Option<Reached> {
+fn parse_event_id(text: &str) -> Option<Position> {
     let (generation, offset) = text.split_once(':')?;
-    Some(Reached {
+    Some(Position {
         generation: generation.parse().ok()?,
         offset: Offset(offset.parse().ok()?),
     })
--- a/crates/gooseberry-router/src/completions.rs
+++ b/crates/gooseberry-router/src/completions.rs
@@ -12,17 +12,17 @@
 use web::reply::{self, BodyError};
 use web::{Response, StreamCut};
 
-use crate::admit::{Entry, Permit, admit};
+use crate::admit::{AdmissionRequest, Permit, admit};
 use crate::auth;
-use crate::caller::{self, Completion, KEY_HEADER, Reached};
+use crate::caller::{self, Completion, KEY_HEADER, Position};
 use crate::context::Router;
 use crate::drive::{Job, drive};
 use crate::errors::{CallerError, Kind, Ran};
 use crate::output::{collect, write_events};
-use crate::takeover::{self, Claimed};
+use crate::takeover::{self, Ownership};
 
 /// The outputs that wait for the writer.
-const OUTPUTS: usize = 4;
+const MAX_OUTPUTS: usize = 4;
 
 /// The header with the version of the configuration under which an answer was made.
 const VERSION_HEADER: &str = "gooseberry-version";
@@ -46,33 +46,33 @@
     let completion = parse(&body)?;
     let (service, profile) = find(document, &completion)?;
     check_limits(&completion, body.len(), profile)?;
-    let place = Place::read(router, &parts.headers, workspace.name.as_str())?;
+    let identity = Identity::read(router, &parts.headers, workspace.name.as_str())?;
     let digest = digest(&completion);
-    let claimed = place.claim(router, digest).await?;
+    let ownership = identity.claim(router, digest).await?;
     let max_tokens = completion.max_tokens.min(profile.limits.tokens);
     let deadline = arrived + Millis(profile.deadline_ms);
-    let entry = Entry {
+    let admission = AdmissionRequest {
         profile,
         workspace,
         cost: max_tokens,
         deadline,
-        is_admitted: !claimed.tokens.is_empty() || claimed.header.stream.is_some(),
+        is_admitted: !ownership.tokens.is_empty() || ownership.header.stream.is_some(),
     };
-    let permit = admit(router, &entry).await?;
+    let permit = admit(router, &admission).await?;
     let job = Job {
-        key: place.key,
+        key: identity.key,
         service: service.name.clone(),
-        model: model(&claimed, service),
+        model: model(&ownership, service),
         profile: profile.clone(),
         prompt: Arc::from(completion.prompt.as_str()),
         max_tokens,
         deadline,
     };
-    let mut claimed = claimed;
-    claimed.header.model = job.model.clone();
-    let mut response = run(router, permit, job, claimed, &completion).await;
+    let mut ownership = ownership;
+    ownership.header.model = job.model.clone();
+    let mut response = run(router, permit, job, ownership, &completion).await;
     let headers = response.headers_mut();
-    if let Ok(value) = HeaderValue::from_str(&place.shown) {
+    if let Ok(value) = HeaderValue::from_str(&identity.shown) {
         headers.insert(KEY_HEADER, value);
     }
     headers.insert(VERSION_HEADER, HeaderValue::from(document.version.0));
@@ -84,13 +84,13 @@
     router: &Arc<Router>,
     permit: Permit,
     job: Job,
-    claimed: Claimed,
+    ownership: Ownership,
     completion: &Completion,
 ) -> Response {
-    let (sender, outputs) = mpsc::channel(OUTPUTS);
-    let driving = drive(router.clone(), job, claimed, sender);
+    let (sender, outputs) = mpsc::channel(MAX_OUTPUTS);
+    let driver = drive(router.clone(), job, ownership, sender);
     tokio::spawn(async move {
-        driving.await;
+        driver.await;
         drop(permit);
     });
     if completion.stream {
@@ -98,41 +98,41 @@
         tokio::spawn(write_events(outputs, completion.model.clone(), body));
         return response;
     }
-    let whole = collect(outputs, &completion.model).await;
-    whole.unwrap_or_else(|| interrupted().response())
+    let response = collect(outputs, &completion.model).await;
+    response.unwrap_or_else(|| interrupted().response())
 }
 
 /// The key of a request and the place that its caller has reached.
-struct Place {
+struct Identity {
     /// The key, with its workspace.
     key: RequestKey,
     /// The key as the caller knows it.
     shown: String,
     is_minted: bool,
-    reached: Option<Reached>,
+    position: Option<Position>,
 }
 
-impl Place {
+impl Identity {
     fn read(router: &Router, headers: &HeaderMap, workspace: &str) -> Result<Self, CallerError> {
         let given = caller::key(headers)?;
-        let reached = caller::reached(headers)?;
+        let position = caller::position(headers)?;
         let is_minted = given.is_none();
         let shown = given.unwrap_or_else(|| mint(router));
         Ok(Self {
             key: RequestKey(format!("{workspace}/{shown}")),
             shown,
             is_minted,
-            reached,
+            position,
         })
     }
 
     /// Takes ownership of the request; a minted key cannot run elsewhere.
-    async fn claim(&self, router: &Arc<Router>, digest: u64) -> Result<Claimed, CallerError> {
+    async fn claim(&self, router: &Arc<Router>, digest: u64) -> Result<Ownership, CallerError> {
         if self.is_minted {
             let epoch = Epoch::default().succeed(router.incarnation);
-            return Ok(takeover::fresh(epoch, digest));
+            return Ok(takeover::new_generation(epoch, digest));
         }
-        takeover::claim(router, &self.key, digest, self.reached).await
+        takeover::claim(router, &self.key, digest, self.position).await
     }
 }
 
@@ -193,11 +193,11 @@
 }
 
 /// The model that began the output, or the default of the service.
-fn model(claimed: &Claimed, service: &Service) -> Model {
-    if claimed.tokens.is_empty() && claimed.header.stream.is_none() {
+fn model(ownership: &Ownership, service: &Service) -> Model {
+    if ownership.tokens.is_empty() && ownership.header.stream.is_none() {
         return service.models.first().cloned().unwrap_or_default();
     }
-    claimed.header.model.clone()
+    ownership.header.model.clone()
 }
 
 /// A digest of what makes two requests the same.
--- a/crates/gooseberry-router/src/context.rs
+++ b/crates/gooseberry-router/src/context.rs
@@ -14,10 +14,10 @@
 use crate::admit::Admission;
 use crate::claims::Claims;
 use crate::config::Snapshot;
+use crate::journals::Journals;
 use crate::links::Links;
 use crate::registry::Registry;
 use crate::services::repeat::Budgets;
-use crate::shelf::Shelf;
 
 /// A router.
 pub struct Router {
@@ -28,7 +28,7 @@
     /// The life of this process.
     pub incarnation: Incarnation,
     /// The journals of this host.
-    pub shelf: Shelf,
+    pub journals: Journals,
     /// Connections to other routers.
     pub links: Links,
     /// The requests in flight.
@@ -44,7 +44,7 @@
     /// The limits and the queue.
     pub admission: Admission,
     /// The number of backend servers chosen so far.
-    pub turn: AtomicU64,
+    pub choice_count: AtomicU64,
     snapshot: ArcSwap<Snapshot>,
 }
 
@@ -52,7 +52,7 @@
     /// A router without configuration.
     pub fn new(settings: Settings, timer: Timer, metrics: cadence::StatsdClient) -> Self {
         Self {
-            shelf: Shelf::new(&settings.journal),
+            journals: Journals::new(&settings.journal),
             settings,
             timer,
             incarnation: Incarnation(rand::random()),
@@ -63,7 +63,7 @@
             metrics,
             drain: CancellationToken::new(),
             admission: Admission::default(),
-            turn: AtomicU64::new(0),
+            choice_count: AtomicU64::new(0),
             snapshot: ArcSwap::default(),
         }
     }
--- a/crates/gooseberry-router/src/drain.rs
+++ b/crates/gooseberry-router/src/drain.rs
@@ -32,7 +32,7 @@
 pub async fn run(router: &Arc<Router>) {
     log::info!("router leaves host={}", router.settings.host);
     router.drain.cancel();
-    router.shelf.leave();
+    router.journals.leave();
     config::tell_leaving(router).await;
     hand_over(router, &router.registry.keys()).await;
     let limit = router.timer.now() + Millis(router.settings.drain_ms);
@@ -46,9 +46,9 @@
 /// Gives all journals to other hosts, but for those of the sorted `own` requests, which have a
 /// witness.
 async fn hand_over(router: &Arc<Router>, own: &[RequestKey]) {
-    let keys = router.shelf.keys().into_iter();
+    let keys = router.journals.keys().into_iter();
     let foreign = keys.filter(|key| own.binary_search(key).is_err());
-    let given = stream::iter(foreign.filter_map(|key| router.shelf.copy(&key)))
+    let given = stream::iter(foreign.filter_map(|key| router.journals.copy(&key)))
         .map(|copy| give(router, copy))
         .buffer_unordered(AT_ONCE)
         .filter(|is_given| std::future::ready(*is_given))
--- a/crates/gooseberry-router/src/drive.rs
+++ b/crates/gooseberry-router/src/drive.rs
@@ -17,29 +17,29 @@
 
 use crate::context::Router;
 use crate::errors::{CallerError, Kind, Ran};
-use crate::links::Acked;
+use crate::links::AppendAck;
 use crate::output::Output;
-use crate::stream::News;
-use crate::takeover::Claimed;
+use crate::stream::StreamUpdate;
+use crate::takeover::Ownership;
 use attempts::Attempts;
 
 /// The most tokens that wait for a slow caller before the engines are no longer read.
-const WINDOW: usize = 256;
+const MAX_QUEUED: usize = 256;
 
 /// The most news of engines that wait for the driver.
-const NEWS: usize = 64;
+const MAX_UPDATES: usize = 64;
 
 /// The time between appends to this host's own journal when there are no tokens.
-const TOUCH: Millis = Millis(2_000);
+const APPEND_INTERVAL: Millis = Millis(2_000);
 
 /// The least time between two notes of a request's state for dumps.
-const NOTE: Millis = Millis(100);
+const STATE_INTERVAL: Millis = Millis(100);
 
 /// The part of the deadline that is left for the way back to the caller.
-const RETURN: Millis = Millis(50);
+const RETURN_MARGIN: Millis = Millis(50);
 
 /// The seconds after which a caller is told to come back.
-const COME_BACK_S: u64 = 1;
+const RETRY_AFTER_S: u64 = 1;
 
 /// What a generation is to do.
 #[derive(Clone, Debug)]
@@ -69,83 +69,98 @@
     generation: Generation,
     replica: Replicator,
     attempts: Attempts,
-    acks: mpsc::UnboundedSender<Acked>,
-    acked: mpsc::UnboundedReceiver<Acked>,
+    ack_sender: mpsc::UnboundedSender<AppendAck>,
+    ack_receiver: mpsc::UnboundedReceiver<AppendAck>,
     end: Option<FinishReason>,
     /// The tokens in this host's own journal.
-    local: Offset,
-    touched: Millis,
+    local_length: Offset,
+    last_append: Millis,
     /// When the state was last put where dumps find it.
-    noted: Option<Millis>,
+    last_record: Option<Millis>,
     is_verifying: bool,
     queue: VecDeque<Output>,
     /// The tokens in the queue.
     queued: usize,
     is_reading: bool,
-    is_caller_gone: bool,
+    is_disconnected: bool,
     number: u64,
 }
 
 /// Runs one generation to its end, writing to `output`.
-pub async fn drive(router: Arc<Router>, job: Job, claimed: Claimed, output: mpsc::Sender<Output>) {
-    let number = router.registry.enter(&job.key);
-    let (news, mut received) = mpsc::channel(NEWS);
-    let mut driver = Driver::new(router, job, claimed, news, number);
-    driver.run(&mut received, &output).await;
-    driver.router.registry.leave(number);
+pub async fn drive(
+    router: Arc<Router>,
+    job: Job,
+    ownership: Ownership,
+    output: mpsc::Sender<Output>,
+) {
+    let number = router.registry.insert(&job.key);
+    let (sender, mut updates) = mpsc::channel(MAX_UPDATES);
+    let mut driver = Driver::new(router, job, ownership, sender, number);
+    driver.run(&mut updates, &output).await;
+    driver.router.registry.remove(number);
 }
 
 impl Driver {
     fn new(
         router: Arc<Router>,
         job: Job,
-        claimed: Claimed,
-        news: mpsc::Sender<News>,
+        ownership: Ownership,
+        updates: mpsc::Sender<StreamUpdate>,
         number: u64,
     ) -> Self {
         let now = router.timer.now();
         let policy = job.profile.resume;
-        let generation = if claimed.tokens.is_empty() {
+        let generation = if ownership.tokens.is_empty() {
             Generation::new(now, policy)
         } else {
-            let is_whole = claimed.finish.is_some();
-            Generation::takeover(now, policy, claimed.tokens, is_whole, claimed.delivered)
+            let is_complete = ownership.finish.is_some();
+            Generation::takeover(
+                now,
+                policy,
+                ownership.tokens,
+                is_complete,
+                ownership.delivered,
+            )
         };
         let witnesses = router.witnesses(&job.key);
         let replica = Replicator::new(now, job.profile.witness, witnesses);
-        let (acks, acked) = mpsc::unbounded_channel();
+        let (ack_sender, ack_receiver) = mpsc::unbounded_channel();
         let mut queue = VecDeque::new();
-        if claimed.is_restart {
-            queue.push_back(Output::Restart(claimed.header.generation()));
+        if ownership.is_restart {
+            queue.push_back(Output::Restart(ownership.header.generation()));
         }
         Self {
             router,
             job,
-            epoch: claimed.epoch,
-            header: claimed.header,
+            epoch: ownership.epoch,
+            header: ownership.header,
             generation,
             replica,
-            attempts: Attempts::new(news),
-            acks,
-            acked,
-            end: claimed.finish,
-            local: Offset(0),
-            touched: now,
-            noted: None,
+            attempts: Attempts::new(updates),
+            ack_sender,
+            ack_receiver,
+            end: ownership.finish,
+            local_length: Offset(0),
+            last_append: now,
+            last_record: None,
             is_verifying: false,
             queue,
             queued: 0,
             is_reading: true,
-            is_caller_gone: false,
+            is_disconnected: false,
             number,
         }
     }
 
-    async fn run(&mut self, received: &mut mpsc::Receiver<News>, output: &mpsc::Sender<Output>) {
+    async fn run(
+        &mut self,
+        updates: &mut mpsc::Receiver<StreamUpdate>,
+        output: &mpsc::Sender<Output>,
+    ) {
         self.begin();
         loop {
-            self.note();
-            if self.generation.is_over() && (self.queue.is_empty() || self.is_caller_gone) {
+            self.record_state();
+            if self.generation.is_over() && (self.queue.is_empty() || self.is_disconnected) {
                 break;
             }
             let now = self.router.timer.now();
@@ -153,20 +168,21 @@
                 .generation
                 .wake_at(now)
                 .min(self.replica.wake_at(now))
-                .min(self.touched + TOUCH)
-                .min(self.expires());
+                .min(self.last_append + APPEND_INTERVAL)
+                .min(self.first_deadline());
             let is_over = self.generation.is_over();
             tokio::select! {
                 biased;
-                Some(acked) = self.acked.recv() => self.on_acked(acked),
-                permit = output.reserve(), if !self.queue.is_empty() && !self.is_caller_gone => {
+                Some(ack) = self.ack_receiver.recv() => self.on_ack(ack),
+                permit = output.reserve(), if !self.queue.is_empty() && !self.is_disconnected => {
                     match permit {
                         Ok(permit) => self.write(permit),
-                        Err(_) => self.caller_gone(),
+                        Err(_) => self.on_disconnect(),
                     }
                 }
-                () = output.closed(), if !self.is_caller_gone => self.caller_gone(),
-                Some(news) = received.recv(), if self.is_reading && !is_over => self.on_news(news),
+                () = output.closed(), if !self.is_disconnected => self.on_disconnect(),
+                Some(update) = updates.recv(), if self.is_reading && !is_over =>
+                    self.on_update(update),
                 () = self.router.timer.at(wake), if !is_over => self.tick(),
             }
         }
@@ -182,25 +198,25 @@
             self.attempts.adopt(&self.router, stream);
         }
         self.generation.start(now, has_stream, &mut actions);
-        self.carry_out(actions);
-        self.tell(Event::Tick);
+        self.perform(actions);
+        self.dispatch(Event::Tick);
     }
 
     /// Tells the generation what happened and carries out what it asks for.
-    fn tell(&mut self, event: Event) {
+    fn dispatch(&mut self, event: Event) {
         let mut actions = Vec::new();
         let now = self.router.timer.now();
         self.generation.on_event(now, event, &mut actions);
-        self.carry_out(actions);
+        self.perform(actions);
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>) {
+    fn perform(&mut self, actions: Vec<Action>) {
         for action in actions {
-            self.act(action);
+            self.perform_one(action);
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn perform_one(&mut self, action: Action) {
         match action {
             Action::Open { attempt, avoid, .. } => self.open(attempt, &avoid),
             Action::Reattach { attempt, from } => self.reattach(attempt, from),
@@ -214,59 +230,59 @@
             Action::Recovered {
                 silence_ms,
                 same_stream,
-            } => self.recovered(silence_ms, same_stream),
+            } => self.on_recovered(silence_ms, same_stream),
             Action::Restart => self.restart(),
             Action::Finish => self.push_done(),
             Action::Fail(failure) => self.fail(failure),
         }
     }
 
-    fn on_news(&mut self, news: News) {
-        if !self.attempts.is_current(news.attempt, news.connection) {
+    fn on_update(&mut self, update: StreamUpdate) {
+        if !self.attempts.is_current(update.attempt, update.connection) {
             return;
         }
-        self.attempts.observe(self.router.timer.now(), &news);
-        if let Some(incarnation) = news.incarnation {
-            self.attempts.identify(news.attempt, incarnation);
+        self.attempts.observe(self.router.timer.now(), &update);
+        if let Some(incarnation) = update.incarnation {
+            self.attempts.set_incarnation(update.attempt, incarnation);
         }
-        if news.end.is_some() && self.end.is_none() {
-            self.end = news.end;
+        if update.end.is_some() && self.end.is_none() {
+            self.end = update.end;
         }
-        self.tell(news.event);
+        self.dispatch(update.event);
     }
 
     fn tick(&mut self) {
         let now = self.router.timer.now();
-        if now.since(self.touched) >= TOUCH {
+        if now.since(self.last_append) >= APPEND_INTERVAL {
             self.append_local();
             let mut actions = Vec::new();
             let witnesses = self.router.witnesses(&self.job.key);
             self.replica.set_candidates(now, witnesses, &mut actions);
-            self.carry_out_replica(actions);
+            self.perform_replica(actions);
         }
         let mut actions = Vec::new();
         self.replica.tick(now, &mut actions);
-        self.carry_out_replica(actions);
-        if now >= self.expires() {
-            self.tell(Event::DeadlineExpired);
+        self.perform_replica(actions);
+        if now >= self.first_deadline() {
+            self.dispatch(Event::DeadlineExpired);
         }
-        self.tell(Event::Tick);
+        self.dispatch(Event::Tick);
     }
 
     /// When the first token is of no more use; never, once it has come.
-    fn expires(&self) -> Millis {
+    fn first_deadline(&self) -> Millis {
         if self.generation.tokens().is_empty() {
-            self.job.deadline - RETURN
+            self.job.deadline - RETURN_MARGIN
         } else {
             Millis::MAX
         }
     }
 
-    fn caller_gone(&mut self) {
-        self.is_caller_gone = true;
+    fn on_disconnect(&mut self) {
+        self.is_disconnected = true;
         self.queue.clear();
         self.queued = 0;
-        self.tell(Event::CallerDisconnected);
+        self.dispatch(Event::CallerDisconnected);
         self.set_reading();
     }
 
@@ -280,15 +296,15 @@
         };
         self.header.lineage = vec![link];
         self.header.stream = None;
-        self.local = Offset(0);
+        self.local_length = Offset(0);
         self.end = None;
         let witnesses = self.router.witnesses(&self.job.key);
         self.replica = Replicator::new(now, self.job.profile.witness, witnesses);
-        (self.acks, self.acked) = mpsc::unbounded_channel();
+        (self.ack_sender, self.ack_receiver) = mpsc::unbounded_channel();
         self.push(Output::Restart(link.generation));
     }
 
-    fn recovered(&mut self, silence_ms: u64, same_stream: bool) {
+    fn on_recovered(&mut self, silence_ms: u64, same_stream: bool) {
         let how = if same_stream { "reconnect" } else { "resume" };
         let _ = self.router.metrics.count(&format!("recovered.{how}"), 1);
         let _ = self.router.metrics.time("silence_ms", silence_ms);
@@ -334,7 +350,7 @@
                 Kind::Lost
             }
         };
-        let comes_back = matches!(
+        let is_retryable = matches!(
             failure,
             Failure::Stalled | Failure::Attempts | Failure::Late
         );
@@ -342,7 +358,7 @@
             kind,
             message: failure.to_string(),
             ran: self.ran(),
-            retry_after: comes_back.then_some(COME_BACK_S),
+            retry_after: is_retryable.then_some(RETRY_AFTER_S),
         }));
     }
 
@@ -358,7 +374,7 @@
     }
 
     fn push(&mut self, output: Output) {
-        if !self.is_caller_gone {
+        if !self.is_disconnected {
             self.queue.push_back(output);
         }
     }
@@ -377,21 +393,24 @@
 
     /// Reads the engines only while the caller keeps up.
     fn set_reading(&mut self) {
-        let is_reading = self.queued < WINDOW;
+        let is_reading = self.queued < MAX_QUEUED;
         if is_reading != self.is_reading {
             self.is_reading = is_reading;
-            self.tell(Event::Reading(is_reading));
+            self.dispatch(Event::Reading(is_reading));
         }
     }
 
     /// Keeps the state dump true, without the work of it at each token.
-    fn note(&mut self) {
+    fn record_state(&mut self) {
         let now = self.router.timer.now();
-        if self.noted.is_some_and(|t| now.since(t) < NOTE) {
+        if self
+            .last_record
+            .is_some_and(|t| now.since(t) < STATE_INTERVAL)
+        {
             return;
         }
-        self.noted = Some(now);
-        self.router.registry.note(self.number, || {
+        self.last_record = Some(now);
+        self.router.registry.update(self.number, || {
             json!({
                 "service": self.job.service,
                 "model": self.job.model,
@@ -409,7 +428,7 @@
     /// Tells the witness that the journal need not be kept for a takeover.
     fn finish(&mut self) {
         self.attempts.detach_all();
-        if self.generation.is_complete() && !self.is_caller_gone {
+        if self.generation.is_complete() && !self.is_disconnected {
             self.close_journal();
         }
     }
--- a/crates/gooseberry-router/src/drive/attempts.rs
+++ b/crates/gooseberry-router/src/drive/attempts.rs
@@ -12,16 +12,16 @@
 use tokio_util::sync::CancellationToken;
 
 use super::Driver;
-use crate::backends::{NoBackend, Placed, Want, place};
+use crate::backends::{NoBackend, Placement, PlacementRequest, place};
 use crate::context::Router;
-use crate::stream::{Connection, News, cancel};
+use crate::stream::{Connection, StreamUpdate, cancel};
 
 /// The factor by which a profile's priority goes before the work already done.
-const PRIORITY_STEP: u32 = 1_000;
+const PRIORITY_FACTOR: u32 = 1_000;
 
 /// One engine stream.
 #[derive(Debug)]
-struct Open {
+struct EngineStream {
     attempt: Attempt,
     backend: BackendId,
     addr: SocketAddr,
@@ -32,23 +32,23 @@
     stop: CancellationToken,
     is_over: bool,
     /// Counts the stream at its backend server while it runs.
-    place: Option<Placed>,
+    placement: Option<Placement>,
 }
 
 /// All engine streams of a generation, the ended ones included.
 #[derive(Debug)]
 pub(super) struct Attempts {
-    streams: Vec<Open>,
+    streams: Vec<EngineStream>,
     connections: u64,
-    news: mpsc::Sender<News>,
+    updates: mpsc::Sender<StreamUpdate>,
 }
 
 impl Attempts {
-    pub(super) fn new(news: mpsc::Sender<News>) -> Self {
+    pub(super) fn new(updates: mpsc::Sender<StreamUpdate>) -> Self {
         Self {
             streams: Vec::new(),
             connections: 0,
-            news,
+            updates,
         }
     }
 
@@ -58,54 +58,55 @@
         let found = snapshot
             .backends
             .iter()
-            .find(|b| b.seen.backend == stream.backend);
-        self.streams.push(Open {
+            .find(|b| b.view.backend == stream.backend);
+        self.streams.push(EngineStream {
             attempt: Attempt(1),
             backend: stream.backend.clone(),
             // The way to a backend server may differ from that of the previous owner.
-            addr: found.map_or(stream.addr, |b| b.seen.addr),
+            addr: found.map_or(stream.addr, |b| b.view.addr),
             name: StreamName(stream.name.clone()),
             incarnation: Some(stream.incarnation),
             connection: 0,
             stop: CancellationToken::new(),
             is_over: false,
-            place: found.map(|b| Placed::new(b.clone(), router.timer.now(), false)),
+            placement: found.map(|b| Placement::new(b.clone(), router.timer.now(), false)),
         });
     }
 
     /// Whether news of this connection counts.
     pub(super) fn is_current(&self, attempt: Attempt, connection: u64) -> bool {
-        let counts = |s: &Open| s.attempt == attempt && s.connection == connection && !s.is_over;
+        let counts =
+            |s: &EngineStream| s.attempt == attempt && s.connection == connection && !s.is_over;
         self.streams.iter().any(counts)
     }
 
     /// Takes note of what news of an attempt tells of its backend server.
-    pub(super) fn observe(&mut self, now: Millis, news: &News) {
-        let place = self.find(news.attempt).and_then(|s| s.place.as_mut());
-        let Some(place) = place else {
+    pub(super) fn observe(&mut self, now: Millis, update: &StreamUpdate) {
+        let placement = self.find(update.attempt).and_then(|s| s.placement.as_mut());
+        let Some(placement) = placement else {
             return;
         };
-        match &news.event {
-            Event::Opened { .. } => place.backend.trust(),
-            Event::Token { .. } => place.first_token(now),
+        match &update.event {
+            Event::Opened { .. } => placement.backend.clear_suspicion(),
+            Event::Token { .. } => placement.first_token(now),
             Event::OpenFailed { cause, .. } => match cause {
                 OpenError::Unreachable => {
-                    place.backend.suspect(now);
-                    place.failed(now);
+                    placement.backend.suspect(now);
+                    placement.failed(now);
                 }
-                OpenError::Busy => place.failed(now),
+                OpenError::Busy => placement.failed(now),
                 OpenError::NoBackend
                 | OpenError::ModelGone
                 | OpenError::Invalid
                 | OpenError::NoStream => {}
             },
-            Event::Broken { .. } => place.failed(now),
+            Event::Broken { .. } => placement.failed(now),
             _ => {}
         }
     }
 
     /// Notes the life of the engine that runs an attempt.
-    pub(super) fn identify(&mut self, attempt: Attempt, incarnation: Incarnation) {
+    pub(super) fn set_incarnation(&mut self, attempt: Attempt, incarnation: Incarnation) {
         if let Some(stream) = self.find(attempt) {
             stream.incarnation = Some(incarnation);
         }
@@ -114,9 +115,9 @@
     /// Lets other requests pass over the engine of an attempt that went silent, broke or could not
     /// be opened, until it accepts a stream again.
     pub(super) fn suspect(&mut self, attempt: Attempt, now: Millis) {
-        let place = self.find(attempt).and_then(|s| s.place.as_ref());
-        if let Some(place) = place {
-            place.backend.suspect(now);
+        let placement = self.find(attempt).and_then(|s| s.placement.as_ref());
+        if let Some(placement) = placement {
+            placement.backend.suspect(now);
         }
     }
 
@@ -146,11 +147,11 @@
 
     /// Closes all connections.
     pub(super) fn detach_all(&mut self) {
-        self.streams.iter_mut().for_each(Open::end);
+        self.streams.iter_mut().for_each(EngineStream::end);
     }
 
     /// What a takeover needs to resume an attempt.
-    pub(super) fn reference(&self, attempt: Attempt) -> Option<StreamRef> {
+    pub(super) fn stream_ref(&self, attempt: Attempt) -> Option<StreamRef> {
         let stream = self.streams.iter().find(|s| s.attempt == attempt)?;
         Some(StreamRef {
             name: stream.name.0.clone(),
@@ -162,13 +163,13 @@
 
     /// The backend servers of some attempts.
     fn backends(&self, attempts: &[Attempt]) -> Vec<BackendId> {
-        let is_one = |s: &&Open| attempts.contains(&s.attempt);
-        let found = self.streams.iter().filter(is_one);
+        let is_included = |s: &&EngineStream| attempts.contains(&s.attempt);
+        let found = self.streams.iter().filter(is_included);
         found.map(|s| s.backend.clone()).collect()
     }
 
     pub(super) fn dump(&self) -> Vec<Value> {
-        let one = |s: &Open| {
+        let to_json = |s: &EngineStream| {
             json!({
                 "attempt": s.attempt,
                 "backend": s.backend,
@@ -177,14 +178,14 @@
                 "is_over": s.is_over,
             })
         };
-        self.streams.iter().map(one).collect()
+        self.streams.iter().map(to_json).collect()
     }
 
     /// A new connection for an attempt; the one before it is closed.
-    fn connect(&mut self, attempt: Attempt, limit: Duration) -> Option<(Connection, StreamName)> {
+    fn connect(&mut self, attempt: Attempt, timeout: Duration) -> Option<(Connection, StreamName)> {
         self.connections += 1;
         let number = self.connections;
-        let news = self.news.clone();
+        let updates = self.updates.clone();
         let stream = self.find(attempt)?;
         stream.stop.cancel();
         stream.stop = CancellationToken::new();
@@ -194,23 +195,23 @@
             attempt,
             number,
             incarnation: stream.incarnation,
-            limit,
-            news,
+            timeout,
+            updates,
             stop: stream.stop.clone(),
         };
         Some((connection, stream.name.clone()))
     }
 
-    fn find(&mut self, attempt: Attempt) -> Option<&mut Open> {
+    fn find(&mut self, attempt: Attempt) -> Option<&mut EngineStream> {
         self.streams.iter_mut().find(|s| s.attempt == attempt)
     }
 }
 
-impl Open {
+impl EngineStream {
     fn end(&mut self) {
         self.stop.cancel();
         self.is_over = true;
-        self.place = None;
+        self.placement = None;
     }
 }
 
@@ -220,13 +221,13 @@
         let avoid = self.attempts.backends(avoid);
         let is_resume = !self.generation.tokens().is_empty();
         let is_retry = attempt.0 > 1 && !is_resume;
-        if is_retry && !self.router.admission.retry(&self.job.profile.name) {
+        if is_retry && !self.router.admission.spend_retry(&self.job.profile.name) {
             let cause = OpenError::NoBackend;
-            self.tell(Event::OpenFailed { attempt, cause });
+            self.dispatch(Event::OpenFailed { attempt, cause });
             return;
         }
         let blocks = prompt_blocks(&self.job.prompt);
-        let want = Want {
+        let request = PlacementRequest {
             service: &self.job.service,
             profile: &self.job.profile,
             model: Some(&self.job.model),
@@ -234,43 +235,43 @@
             avoid: &avoid,
             is_resume,
         };
-        let placed = place(&self.router, &want);
-        match placed {
-            Ok(placed) => self.open_at(attempt, placed),
-            Err(why) => {
-                let cause = match why {
+        let placement = place(&self.router, &request);
+        match placement {
+            Ok(placement) => self.open_at(attempt, placement),
+            Err(error) => {
+                let cause = match error {
                     NoBackend::None => OpenError::NoBackend,
                     NoBackend::NoModel => OpenError::ModelGone,
                 };
-                self.tell(Event::OpenFailed { attempt, cause });
+                self.dispatch(Event::OpenFailed { attempt, cause });
             }
         }
     }
 
-    fn open_at(&mut self, attempt: Attempt, placed: Placed) {
+    fn open_at(&mut self, attempt: Attempt, placement: Placement) {
         let generation = self.header.generation();
         let name = StreamName::new(generation, self.router.incarnation, attempt);
-        let seen = &placed.backend.seen;
+        let view = &placement.backend.view;
         log::debug!(
             "stream opens key={} host={} attempt={attempt} backend={}",
             self.job.key,
             self.router.settings.host,
-            seen.backend
+            view.backend
         );
-        self.attempts.streams.push(Open {
+        self.attempts.streams.push(EngineStream {
             attempt,
-            backend: seen.backend.clone(),
-            addr: seen.addr,
+            backend: view.backend.clone(),
+            addr: view.addr,
             name: name.clone(),
             incarnation: None,
             connection: 0,
             stop: CancellationToken::new(),
             is_over: false,
-            place: Some(placed),
+            placement: Some(placement),
         });
         let body = self.engine_request(name);
-        let limit = self.open_limit();
-        if let Some((connection, _)) = self.attempts.connect(attempt, limit) {
+        let timeout = self.open_timeout();
+        if let Some((connection, _)) = self.attempts.connect(attempt, timeout) {
             tokio::spawn(connection.generate(body));
         }
     }
@@ -280,13 +281,13 @@
         let now = self.router.timer.now();
         self.attempts.suspect(attempt, now);
         // An engine that is paused accepts nothing; how long it may be is the profile's to say.
-        let limit = Millis(self.job.profile.resume.confirm_ms).duration();
-        if let Some((connection, name)) = self.attempts.connect(attempt, limit) {
+        let timeout = Millis(self.job.profile.resume.confirm_ms).duration();
+        if let Some((connection, name)) = self.attempts.connect(attempt, timeout) {
             tokio::spawn(connection.resume(name, from));
         }
     }
 
-    fn open_limit(&self) -> Duration {
+    fn open_timeout(&self) -> Duration {
         Millis(self.job.profile.resume.open_ms).duration()
     }
 
@@ -301,7 +302,7 @@
             prompt: self.job.prompt.to_string(),
             prefix: tokens.iter().map(|t| t.id).collect(),
             max_tokens: self.job.max_tokens,
-            priority: priority.saturating_mul(PRIORITY_STEP) + done.min(PRIORITY_STEP - 1),
+            priority: priority.saturating_mul(PRIORITY_FACTOR) + done.min(PRIORITY_FACTOR - 1),
             deadline_ms: tokens.is_empty().then(|| {
                 let left = self.job.deadline.since(self.router.timer.now());
                 left.0
@@ -311,7 +312,7 @@
 
     /// Names the stream in the journal, so that a takeover can resume it.
     pub(super) fn make_current(&mut self, attempt: Attempt) {
-        self.header.stream = self.attempts.reference(attempt);
+        self.header.stream = self.attempts.stream_ref(attempt);
         self.write_header();
     }
 }
--- a/crates/gooseberry-router/src/drive/journalling.rs
+++ b/crates/gooseberry-router/src/drive/journalling.rs
@@ -6,7 +6,7 @@
 use journal::replicator::Action;
 
 use super::Driver;
-use crate::links::{Acked, Done, Item};
+use crate::links::{AppendAck, QueuedAppend, ReplyTo};
 
 impl Driver {
     /// Writes the tokens before `length` to the journals.
@@ -17,7 +17,7 @@
         let now = self.router.timer.now();
         let mut actions = Vec::new();
         self.replica.grow(now, length, finished, &mut actions);
-        self.carry_out_replica(actions);
+        self.perform_replica(actions);
     }
 
     /// Writes the header to the journals.
@@ -28,7 +28,7 @@
         let now = self.router.timer.now();
         let mut actions = Vec::new();
         self.replica.header_changed(now, &mut actions);
-        self.carry_out_replica(actions);
+        self.perform_replica(actions);
     }
 
     /// Confirms that no other router owns the request.
@@ -37,37 +37,37 @@
             return;
         }
         if self.replica.witness().is_none() {
-            self.tell(Event::Verified);
+            self.dispatch(Event::Verified);
             return;
         }
         self.is_verifying = true;
         let now = self.router.timer.now();
         let mut actions = Vec::new();
         self.replica.verify(now, &mut actions);
-        self.carry_out_replica(actions);
+        self.perform_replica(actions);
     }
 
     /// Takes in the answer of a witness.
-    pub(super) fn on_acked(&mut self, acked: Acked) {
+    pub(super) fn on_ack(&mut self, ack: AppendAck) {
         let now = self.router.timer.now();
-        let is_expected = self.replica.is_pending(acked.call);
+        let is_expected = self.replica.is_pending(ack.call);
         let mut actions = Vec::new();
-        match acked.answer {
-            Some(Ok(held)) => self.replica.on_ack(now, acked.call, held, &mut actions),
+        match ack.answer {
+            Some(Ok(held)) => self.replica.on_ack(now, ack.call, held, &mut actions),
             Some(Err(refusal)) => self
                 .replica
-                .on_refused(now, acked.call, refusal, &mut actions),
-            None => self.replica.on_failed(now, acked.call, &mut actions),
+                .on_refused(now, ack.call, refusal, &mut actions),
+            None => self.replica.on_failed(now, ack.call, &mut actions),
         }
-        self.carry_out_replica(actions);
-        let place_confirmed = is_expected && matches!(acked.answer, Some(Ok(_)));
-        if self.is_verifying && (place_confirmed || self.replica.witness().is_none()) {
+        self.perform_replica(actions);
+        let is_confirmed = is_expected && matches!(ack.answer, Some(Ok(_)));
+        if self.is_verifying && (is_confirmed || self.replica.witness().is_none()) {
             self.is_verifying = false;
-            self.tell(Event::Verified);
+            self.dispatch(Event::Verified);
         }
     }
 
-    pub(super) fn carry_out_replica(&mut self, actions: Vec<Action>) {
+    pub(super) fn perform_replica(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send {
@@ -76,35 +76,38 @@
                     with_header,
                     call,
                 } => self.send(&host, from, with_header, call),
-                Action::Release(upto) => self.tell(Event::Released(upto)),
-                Action::Superseded(_) => self.tell(Event::Superseded),
+                Action::Release(upto) => self.dispatch(Event::Released(upto)),
+                Action::Superseded(_) => self.dispatch(Event::Superseded),
             }
         }
     }
 
     /// Sends tokens to a witness.
     fn send(&mut self, host: &HostId, from: Offset, with_header: bool, call: u64) {
-        let to = self.acks.clone();
+        let sender = self.ack_sender.clone();
         let Some(addr) = self.router.address(host) else {
-            let lost = Acked { call, answer: None };
+            let unanswered = AppendAck { call, answer: None };
             // The receiving end is part of this driver.
-            let _ = to.send(lost);
+            let _ = sender.send(unanswered);
             return;
         };
         let append = self.append_from(from, with_header);
-        let done = Done { call, to };
-        self.router.links.peer(addr).append(Item { append, done });
+        let reply = ReplyTo { call, sender };
+        self.router
+            .links
+            .peer(addr)
+            .append(QueuedAppend { append, reply });
     }
 
     /// Writes what is new to this host's own journal; returns whether the request is still owned.
     pub(super) fn append_local(&mut self) -> bool {
         let now = self.router.timer.now();
-        self.touched = now;
-        let append = self.append_from(self.local, true);
-        match self.router.shelf.append(now, append) {
-            Ok(held) => self.local = held,
+        self.last_append = now;
+        let append = self.append_from(self.local_length, true);
+        match self.router.journals.append(now, append) {
+            Ok(held) => self.local_length = held,
             Err(Refusal::Sealed(_)) => {
-                self.tell(Event::Superseded);
+                self.dispatch(Event::Superseded);
                 return false;
             }
             // Without room here the witness alone keeps the journal.
@@ -130,7 +133,7 @@
     /// Tells all who hold the journal that the caller has the whole answer.
     pub(super) fn close_journal(&self) {
         let now = self.router.timer.now();
-        self.router.shelf.close(now, &self.job.key, self.epoch);
+        self.router.journals.close(now, &self.job.key, self.epoch);
         let witness = self.replica.witness();
         let Some(addr) = witness.and_then(|h| self.router.address(h)) else {
             return;
@@ -139,10 +142,10 @@
         let (key, epoch) = (self.job.key.clone(), self.epoch);
         tokio::spawn(async move {
             // Without this call the witness drops the journal after a while.
-            let _ = peer.link.close(&key, epoch, CLOSE_LIMIT).await;
+            let _ = peer.link.close(&key, epoch, CLOSE_TIMEOUT).await;
         });
     }
 }
 
 /// The longest wait for a witness to take note of the end.
-const CLOSE_LIMIT: std::time::Duration = std::time::Duration::from_millis(1_000);
+const CLOSE_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(1_000);
--- a/crates/gooseberry-router/src/shelf.rs
+++ b/crates/gooseberry-router/src/journals.rs
@@ -7,25 +7,25 @@
 use journal::record::{Append, Refusal, Snapshot};
 use journal::store::{JournalCopy, Limits, Orphan, Store, Summary};
 
-/// The number of parts, each behind a lock of its own.
-const PARTS: usize = 16;
+/// The number of shards, each behind a lock of its own.
+const SHARDS: usize = 16;
 
-/// Journals in parts by their key.
+/// Journals in shards by their key.
 #[derive(Debug)]
-pub struct Shelf {
-    parts: Vec<Mutex<Store>>,
+pub struct Journals {
+    shards: Vec<Mutex<Store>>,
 }
 
-impl Shelf {
+impl Journals {
     /// An empty shelf.
     pub fn new(limits: &Limits) -> Self {
-        let part = Limits {
-            bytes: limits.bytes / PARTS,
-            count: limits.count.div_ceil(PARTS),
+        let shard = Limits {
+            bytes: limits.bytes / SHARDS,
+            count: limits.count.div_ceil(SHARDS),
             ..*limits
         };
-        let parts = (0..PARTS).map(|_| Mutex::new(Store::new(part))).collect();
-        Self { parts }
+        let shards = (0..SHARDS).map(|_| Mutex::new(Store::new(shard))).collect();
+        Self { shards }
     }
 
     /// See [`Store::append`].
@@ -34,8 +34,8 @@
     ///
     /// As there.
     pub fn append(&self, now: Millis, append: Append) -> Result<Offset, Refusal> {
-        let part = self.part(&append.key);
-        lock(part).append(now, append)
+        let shard = self.shard(&append.key);
+        lock(shard).append(now, append)
     }
 
     /// See [`Store::append_remote`].
@@ -43,20 +43,20 @@
     /// # Errors
     ///
     /// As there.
-    pub fn witness(&self, now: Millis, append: Append) -> Result<Offset, Refusal> {
-        let part = self.part(&append.key);
-        lock(part).append_remote(now, append)
+    pub fn append_remote(&self, now: Millis, append: Append) -> Result<Offset, Refusal> {
+        let shard = self.shard(&append.key);
+        lock(shard).append_remote(now, append)
     }
 
     /// The requests of which journals are held.
     pub fn keys(&self) -> Vec<RequestKey> {
         let all = |p: &Mutex<Store>| lock(p).keys().cloned().collect::<Vec<_>>();
-        self.parts.iter().flat_map(all).collect()
+        self.shards.iter().flat_map(all).collect()
     }
 
     /// See [`Store::copy`].
     pub fn copy(&self, key: &RequestKey) -> Option<JournalCopy> {
-        lock(self.part(key)).copy(key)
+        lock(self.shard(key)).copy(key)
     }
 
     /// See [`Store::seal`].
@@ -71,22 +71,22 @@
         epoch: Epoch,
         digest: u64,
     ) -> Result<Option<Snapshot>, Refusal> {
-        lock(self.part(key)).seal(now, key, epoch, digest)
+        lock(self.shard(key)).seal(now, key, epoch, digest)
     }
 
     /// See [`Store::fence`].
     pub fn fence(&self, key: &RequestKey) -> Option<Epoch> {
-        lock(self.part(key)).fence(key)
+        lock(self.shard(key)).fence(key)
     }
 
     /// See [`Store::close`].
     pub fn close(&self, now: Millis, key: &RequestKey, epoch: Epoch) {
-        lock(self.part(key)).close(now, key, epoch);
+        lock(self.shard(key)).close(now, key, epoch);
     }
 
     /// See [`Store::expire`].
     pub fn expire(&self, now: Millis) -> Vec<Orphan> {
-        self.parts
+        self.shards
             .iter()
             .flat_map(|p| lock(p).expire(now))
             .collect()
@@ -94,31 +94,31 @@
 
     /// See [`Store::leave`].
     pub fn leave(&self) {
-        for part in &self.parts {
-            lock(part).leave();
+        for shard in &self.shards {
+            lock(shard).leave();
         }
     }
 
     /// The number of journals and the bytes of their tokens.
     pub fn size(&self) -> (usize, usize) {
-        self.parts.iter().fold((0, 0), |(count, bytes), part| {
-            let part = lock(part);
-            (count + part.len(), bytes + part.bytes())
+        self.shards.iter().fold((0, 0), |(count, bytes), shard| {
+            let shard = lock(shard);
+            (count + shard.len(), bytes + shard.bytes())
         })
     }
 
     /// The journals, for a state dump.
     pub fn summaries(&self) -> Vec<Summary> {
         let all = |p: &Mutex<Store>| lock(p).summaries().collect::<Vec<_>>();
-        self.parts.iter().flat_map(all).collect()
+        self.shards.iter().flat_map(all).collect()
     }
 
-    fn part(&self, key: &RequestKey) -> &Mutex<Store> {
-        let i = stable(key.as_str().as_bytes()) as usize % PARTS;
-        &self.parts[i]
+    fn shard(&self, key: &RequestKey) -> &Mutex<Store> {
+        let i = stable(key.as_str().as_bytes()) as usize % SHARDS;
+        &self.shards[i]
     }
 }
 
-fn lock(part: &Mutex<Store>) -> std::sync::MutexGuard<'_, Store> {
-    part.lock().unwrap_or_else(|e| e.into_inner())
+fn lock(shard: &Mutex<Store>) -> std::sync::MutexGuard<'_, Store> {
+    shard.lock().unwrap_or_else(|e| e.into_inner())
 }
--- a/crates/gooseberry-router/src/links.rs
+++ b/crates/gooseberry-router/src/links.rs
@@ -11,45 +11,45 @@
 use tokio::sync::mpsc;
 
 /// The longest wait for a witness.
-const LIMIT: Duration = Duration::from_millis(1_000);
+const APPEND_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// The most appends in one message.
 const MAX_BATCH: usize = 256;
 
 /// What came of an append; `None` if the peer gave no answer.
-pub type Answer = Option<Result<Offset, Refusal>>;
+pub type AppendResult = Option<Result<Offset, Refusal>>;
 
 /// An append and where its answer goes.
-pub struct Item {
+pub struct QueuedAppend {
     /// The append.
     pub append: Append,
     /// Where its answer goes.
-    pub done: Done,
+    pub reply: ReplyTo,
 }
 
 /// Where the answer of one append goes.
 #[derive(Debug)]
-pub struct Done {
+pub struct ReplyTo {
     /// The number of the append at its owner.
     pub call: u64,
     /// The owner's task.
-    pub to: mpsc::UnboundedSender<Acked>,
+    pub sender: mpsc::UnboundedSender<AppendAck>,
 }
 
 /// The answer of an append, as its owner's task receives it.
 #[derive(Clone, Copy, Debug)]
-pub struct Acked {
+pub struct AppendAck {
     /// The number of the append.
     pub call: u64,
     /// The answer.
-    pub answer: Answer,
+    pub answer: AppendResult,
 }
 
 /// A router of another host.
 pub struct Peer {
     /// For single calls.
     pub link: Arc<RouterLink>,
-    queue: mpsc::UnboundedSender<Item>,
+    queue: mpsc::UnboundedSender<QueuedAppend>,
 }
 
 impl Peer {
@@ -61,7 +61,7 @@
     }
 
     /// Sends an append along with others.
-    pub fn append(&self, item: Item) {
+    pub fn append(&self, item: QueuedAppend) {
         // The task at the other end lives as long as this sender.
         let _ = self.queue.send(item);
     }
@@ -82,20 +82,20 @@
 }
 
 /// Sends what has gathered while the message before was on its way.
-async fn send_batches(link: Arc<RouterLink>, mut items: mpsc::UnboundedReceiver<Item>) {
+async fn send_batches(link: Arc<RouterLink>, mut items: mpsc::UnboundedReceiver<QueuedAppend>) {
     let mut batch = Vec::new();
     while items.recv_many(&mut batch, MAX_BATCH).await > 0 {
-        let (appends, dones): (Vec<Append>, Vec<Done>) =
-            batch.drain(..).map(|i| (i.append, i.done)).unzip();
-        let answers = link.append(appends, LIMIT).await;
-        let answers: Vec<Answer> = match answers {
+        let (appends, replies): (Vec<Append>, Vec<ReplyTo>) =
+            batch.drain(..).map(|i| (i.append, i.reply)).unzip();
+        let answers = link.append(appends, APPEND_TIMEOUT).await;
+        let answers: Vec<AppendResult> = match answers {
             Ok(answers) => answers.into_iter().map(Some).collect(),
-            Err(_) => vec![None; dones.len()],
+            Err(_) => vec![None; replies.len()],
         };
-        for (done, answer) in dones.into_iter().zip(answers) {
+        for (reply, answer) in replies.into_iter().zip(answers) {
             // An owner that has ended needs no answer.
-            let _ = done.to.send(Acked {
-                call: done.call,
+            let _ = reply.sender.send(AppendAck {
+                call: reply.call,
                 answer,
             });
         }
--- a/crates/gooseberry-router/src/registry.rs
+++ b/crates/gooseberry-router/src/registry.rs
@@ -23,7 +23,7 @@
 
 impl Registry {
     /// Enters a request and returns its number.
-    pub fn enter(&self, key: &RequestKey) -> u64 {
+    pub fn insert(&self, key: &RequestKey) -> u64 {
         let number = self.last.fetch_add(1, Ordering::Relaxed);
         let entry = Entry {
             key: key.clone(),
@@ -34,14 +34,14 @@
     }
 
     /// Notes the state of a request, if a dump was asked for lately or none was noted yet.
-    pub fn note(&self, number: u64, state: impl FnOnce() -> Value) {
+    pub fn update(&self, number: u64, state: impl FnOnce() -> Value) {
         if let Some(entry) = self.lock().get_mut(&number) {
             entry.state = state();
         }
     }
 
     /// Takes a request out.
-    pub fn leave(&self, number: u64) {
+    pub fn remove(&self, number: u64) {
         self.lock().remove(&number);
     }
 
--- a/crates/gooseberry-router/src/run.rs
+++ b/crates/gooseberry-router/src/run.rs
@@ -67,7 +67,7 @@
     let loops = [
         tokio::spawn(config::follow(router.clone())),
         tokio::spawn(expire(router.clone())),
-        tokio::spawn(admit::watch(router.clone())),
+        tokio::spawn(admit::tick_forever(router.clone())),
         tokio::spawn(claims::write(router.clone())),
         tokio::spawn(clear::follow(router.clone())),
         tokio::spawn(serve_peers(router.clone(), peers, end.clone())),
@@ -104,15 +104,15 @@
             let now = a.timer.now();
             batch
                 .into_iter()
-                .map(|one| a.shelf.witness(now, one))
+                .map(|one| a.journals.append_remote(now, one))
                 .collect()
         },
         seal: move |key: RequestKey, epoch: Epoch, digest: u64| {
-            let sealed = s.shelf.seal(s.timer.now(), &key, epoch, digest);
+            let sealed = s.journals.seal(s.timer.now(), &key, epoch, digest);
             sealed.map(|snapshot| Sealed { snapshot })
         },
         close: move |key: RequestKey, epoch: Epoch| {
-            c.shelf.close(c.timer.now(), &key, epoch);
+            c.journals.close(c.timer.now(), &key, epoch);
         },
     };
     peer::serve::router(listener, stop, server).await;
@@ -123,7 +123,7 @@
     let mut ticks = router.timer.every(EXPIRE);
     loop {
         let now = ticks.next().await;
-        for orphan in router.shelf.expire(now) {
+        for orphan in router.journals.expire(now) {
             log::warn!(
                 "stream without owner cancelled key={} host={} stream={}",
                 orphan.key,
--- a/crates/gooseberry-router/src/services/job.rs
+++ b/crates/gooseberry-router/src/services/job.rs
@@ -9,7 +9,7 @@
 use profiles::document::{Profile, Service};
 use service::client::Call;
 
-use crate::backends::Want;
+use crate::backends::PlacementRequest;
 use crate::caller::KEY_HEADER;
 use crate::context::Router;
 
@@ -89,8 +89,8 @@
     }
 
     /// What a backend server must be to get the call.
-    pub fn want<'a>(&'a self, avoid: &'a [BackendId]) -> Want<'a> {
-        Want {
+    pub fn want<'a>(&'a self, avoid: &'a [BackendId]) -> PlacementRequest<'a> {
+        PlacementRequest {
             service: &self.service,
             profile: &self.profile,
             model: None,
--- a/crates/gooseberry-router/src/services/once.rs
+++ b/crates/gooseberry-router/src/services/once.rs
@@ -14,7 +14,7 @@
 use tokio::sync::oneshot;
 use web::Response;
 
-use crate::backends::{Placed, place};
+use crate::backends::{Placement, place};
 use crate::claims;
 use crate::context::Router;
 use crate::services::job::Job;
@@ -33,7 +33,7 @@
 struct Done {
     event: Event,
     /// The server and the connection, after [`Action::SelectServer`].
-    ready: Option<(Placed, Connection)>,
+    ready: Option<(Placement, Connection)>,
     /// A server that could not be reached.
     failed: Option<BackendId>,
     /// The answer of the server, after [`Action::Send`].
@@ -55,7 +55,7 @@
 #[derive(Default)]
 struct With {
     /// The server and the connection to send on.
-    ready: Option<(Placed, Connection)>,
+    ready: Option<(Placement, Connection)>,
     /// The servers that could not be reached.
     avoid: Vec<BackendId>,
     /// The answer that is to be kept.
@@ -88,14 +88,14 @@
 /// Feeds the state machine and carries out what it decides.
 async fn drive(context: Arc<Context>, tell: oneshot::Sender<Told>) {
     let (router, job) = (&context.router, &context.job);
-    let number = router.registry.enter(&job.name);
+    let number = router.registry.insert(&job.name);
     let start = router.timer.now();
     let (mut once, first) = Submission::new(context.owner, job.digest, job.origin, job.times);
     let mut tell = Some(tell);
     let mut with = With::default();
     let mut work = Some(Box::pin(perform(context.clone(), first, With::default())));
     while once.phase() != Phase::Over {
-        router.registry.note(number, || json!({ "call": once }));
+        router.registry.update(number, || json!({ "call": once }));
         let done = tokio::select! {
             done = finished(&mut work) => {
                 work = None;
@@ -130,7 +130,7 @@
             let _ = router.metrics.time("claims.claim", took);
         }
     }
-    router.registry.leave(number);
+    router.registry.remove(number);
 }
 
 /// Waits for the work under way, or for ever if there is none.
@@ -201,7 +201,7 @@
     let Ok(mut placed) = place(router, &job.want(avoid)) else {
         return Event::NoServer.into();
     };
-    let seen = &placed.backend.seen;
+    let seen = &placed.backend.view;
     match Connection::open(seen.addr, CONNECT).await {
         Ok(connection) => Done {
             ready: Some((placed, connection)),
@@ -225,7 +225,7 @@
 }
 
 /// Sends the call.
-async fn send(context: &Context, ready: Option<(Placed, Connection)>) -> Done {
+async fn send(context: &Context, ready: Option<(Placement, Connection)>) -> Done {
     let (router, job) = (&context.router, &context.job);
     let Some((mut placed, connection)) = ready else {
         return Event::NotSent.into();
@@ -246,7 +246,7 @@
                 "call lost key={} host={} backend={} cause=\"{cause}\"",
                 job.name,
                 router.settings.host,
-                placed.backend.seen.backend
+                placed.backend.view.backend
             );
             Event::NoAnswer.into()
         }
--- a/crates/gooseberry-router/src/services/repeat.rs
+++ b/crates/gooseberry-router/src/services/repeat.rs
@@ -45,7 +45,7 @@
 
 /// Makes tries until one is answered.
 pub async fn run(router: &Router, job: &Job, retry: &Retry) -> Response {
-    let number = router.registry.enter(&job.name);
+    let number = router.registry.insert(&job.name);
     let limit = Millis(retry.try_ms.max(1));
     let mut call = Attempts::new(retry.tries, limit, job.times.deadline);
     let mut ran = Ran::NotRun;
@@ -76,7 +76,7 @@
         // Metrics that cannot be sent are no concern of the caller.
         let _ = router.metrics.count("calls.try_failed", 1);
     }
-    router.registry.leave(number);
+    router.registry.remove(number);
     response.unwrap_or_else(|| failed(ran).response())
 }
 
@@ -92,7 +92,7 @@
 async fn attempt(router: &Router, job: &Job, next: &Attempt) -> Result<Reply, Missed> {
     let mut placed =
         place(router, &job.want(&next.avoid)).map_err(|_: NoBackend| Missed::Unsent(None))?;
-    let answered = attempt_at(router, job, next, &placed.backend.seen).await;
+    let answered = attempt_at(router, job, next, &placed.backend.view).await;
     let now = router.timer.now();
     match answered {
         Ok(_) => placed.first_token(now),
--- a/crates/gooseberry-router/src/stream.rs
+++ b/crates/gooseberry-router/src/stream.rs
@@ -13,7 +13,7 @@
 use tokio_util::sync::CancellationToken;
 
 /// The waits between tries to end a stream on its engine.
-const CANCEL_WAITS: [Duration; 5] = [
+const CANCEL_BACKOFF: [Duration; 5] = [
     Duration::from_secs(1),
     Duration::from_secs(3),
     Duration::from_secs(10),
@@ -22,11 +22,11 @@
 ];
 
 /// The time limit of one try to end a stream.
-const CANCEL_LIMIT: Duration = Duration::from_secs(2);
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// News of a connection.
+/// An update of a connection.
 #[derive(Clone, Debug)]
-pub struct News {
+pub struct StreamUpdate {
     /// The attempt.
     pub attempt: Attempt,
     /// Which of the attempt's connections it came over.
@@ -51,9 +51,9 @@
     /// The life of the engine that is expected, if any.
     pub incarnation: Option<Incarnation>,
     /// The longest wait for the engine's acceptance.
-    pub limit: Duration,
+    pub timeout: Duration,
     /// Where news goes.
-    pub news: mpsc::Sender<News>,
+    pub updates: mpsc::Sender<StreamUpdate>,
     /// Cancelled when the connection is no longer wanted.
     pub stop: CancellationToken,
 }
@@ -61,7 +61,7 @@
 impl Connection {
     /// Starts a stream and reads it.
     pub async fn generate(self, body: Generate) {
-        let opening = engine::client::generate(self.addr, &body, self.limit);
+        let opening = engine::client::generate(self.addr, &body, self.timeout);
         let opened = tokio::select! {
             () = self.stop.cancelled() => return,
             opened = opening => opened,
@@ -71,7 +71,7 @@
 
     /// Reads a stream that runs already.
     pub async fn resume(self, name: StreamName, from: Offset) {
-        let opening = engine::client::resume(self.addr, &name, from, self.limit);
+        let opening = engine::client::resume(self.addr, &name, from, self.timeout);
         let opened = tokio::select! {
             () = self.stop.cancelled() => return,
             opened = opening => opened,
@@ -84,7 +84,7 @@
         let mut frames = match opened {
             Ok(frames) => frames,
             Err(e) => {
-                self.tell(self.open_failed(&e)).await;
+                self.send(self.open_failed(&e)).await;
                 return;
             }
         };
@@ -93,15 +93,15 @@
                 () = self.stop.cancelled() => return,
                 frame = frames.next() => frame,
             };
-            let (news, is_last) = self.translate(frame);
-            if !self.tell(news).await || is_last {
+            let (update, is_last) = self.translate(frame);
+            if !self.send(update).await || is_last {
                 return;
             }
         }
     }
 
-    /// News of one frame, and whether it is the last.
-    fn translate(&self, frame: Result<Option<Frame>, EngineError>) -> (News, bool) {
+    /// An update of one frame, and whether it is the last.
+    fn translate(&self, frame: Result<Option<Frame>, EngineError>) -> (StreamUpdate, bool) {
         let attempt = self.attempt;
         let broken = |cause| Event::Broken { attempt, cause };
         match frame {
@@ -112,11 +112,11 @@
             })) => {
                 if self.incarnation.is_some_and(|i| i != incarnation) {
                     let cause = OpenError::NoStream;
-                    return (self.news(Event::OpenFailed { attempt, cause }), true);
+                    return (self.update(Event::OpenFailed { attempt, cause }), true);
                 }
-                let mut news = self.news(Event::Opened { attempt, offset });
-                news.incarnation = Some(incarnation);
-                (news, false)
+                let mut update = self.update(Event::Opened { attempt, offset });
+                update.incarnation = Some(incarnation);
+                (update, false)
             }
             Ok(Some(Frame::Token { offset, token })) => {
                 let event = Event::Token {
@@ -124,24 +124,24 @@
                     offset,
                     token,
                 };
-                (self.news(event), false)
+                (self.update(event), false)
             }
             Ok(Some(Frame::End { length, finish })) => {
-                let mut news = self.news(Event::Ended { attempt, length });
-                news.end = Some(match finish {
+                let mut update = self.update(Event::Ended { attempt, length });
+                update.end = Some(match finish {
                     Finish::Stop => FinishReason::Stop,
                     Finish::Length => FinishReason::Length,
                 });
-                (news, true)
+                (update, true)
             }
-            Ok(None) => (self.news(broken(StreamError::Closed)), true),
-            Err(EngineError::Stream { .. }) => (self.news(broken(StreamError::Closed)), true),
-            Err(_) => (self.news(broken(StreamError::Garbled)), true),
+            Ok(None) => (self.update(broken(StreamError::Closed)), true),
+            Err(EngineError::Stream { .. }) => (self.update(broken(StreamError::Closed)), true),
+            Err(_) => (self.update(broken(StreamError::Garbled)), true),
         }
     }
 
-    /// News of a stream that could not be opened.
-    fn open_failed(&self, error: &EngineError) -> News {
+    /// An update of a stream that could not be opened.
+    fn open_failed(&self, error: &EngineError) -> StreamUpdate {
         let cause = match error {
             EngineError::Refused { kind, .. } => match kind {
                 RefusalKind::Busy | RefusalKind::NotReady => OpenError::Busy,
@@ -152,11 +152,11 @@
             EngineError::Call(_) | EngineError::Stream { .. } => OpenError::Unreachable,
         };
         let attempt = self.attempt;
-        self.news(Event::OpenFailed { attempt, cause })
+        self.update(Event::OpenFailed { attempt, cause })
     }
 
-    fn news(&self, event: Event) -> News {
-        News {
+    fn update(&self, event: Event) -> StreamUpdate {
+        StreamUpdate {
             attempt: self.attempt,
             connection: self.number,
             event,
@@ -166,23 +166,23 @@
     }
 
     /// Sends news; returns whether anybody listens.
-    async fn tell(&self, news: News) -> bool {
+    async fn send(&self, update: StreamUpdate) -> bool {
         tokio::select! {
             () = self.stop.cancelled() => false,
-            sent = self.news.send(news) => sent.is_ok(),
+            sent = self.updates.send(update) => sent.is_ok(),
         }
     }
 }
 
 /// Ends a stream on its engine, trying again for a while if the engine is away.
 pub async fn cancel(addr: SocketAddr, name: StreamName) {
-    for wait in CANCEL_WAITS {
-        let refused = match engine::client::cancel(addr, &name, CANCEL_LIMIT).await {
+    for wait in CANCEL_BACKOFF {
+        let is_absent = match engine::client::cancel(addr, &name, CANCEL_TIMEOUT).await {
             Ok(()) => return,
             Err(EngineError::Refused { kind, .. }) => kind == RefusalKind::NoStream,
             Err(EngineError::Call(_) | EngineError::Stream { .. }) => false,
         };
-        if refused {
+        if is_absent {
             return;
         }
         sleep(wait).await;
--- a/crates/gooseberry-router/src/takeover.rs
+++ b/crates/gooseberry-router/src/takeover.rs
@@ -10,19 +10,19 @@
 use journal::record::{Header, Refusal, Segment, Snapshot};
 use peer::agent::HostView;
 
-use crate::caller::Reached;
+use crate::caller::Position;
 use crate::context::Router;
 use crate::errors::{CallerError, Kind};
 
 /// The longest wait for one host's journal.
-const SEAL_LIMIT: Duration = Duration::from_millis(250);
+const SEAL_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// The most tries to seal under a higher epoch.
 const MAX_ROUNDS: u32 = 5;
 
 /// The ownership of a request and what was generated before.
 #[derive(Clone, Debug)]
-pub struct Claimed {
+pub struct Ownership {
     /// The ownership.
     pub epoch: Epoch,
     /// The header of the journal to write.
@@ -39,7 +39,7 @@
 
 /// What the sealed hosts gave.
 #[derive(Debug, Default)]
-struct Found {
+struct SealResults {
     snapshots: Vec<Snapshot>,
     /// The highest epoch that refused a seal.
     higher: Option<Epoch>,
@@ -48,12 +48,12 @@
 }
 
 /// A new generation under `epoch`.
-pub fn fresh(epoch: Epoch, digest: u64) -> Claimed {
+pub fn new_generation(epoch: Epoch, digest: u64) -> Ownership {
     let link = Segment {
         generation: GenerationId(rand::random()),
         start: Offset(0),
     };
-    Claimed {
+    Ownership {
         epoch,
         header: Header {
             digest,
@@ -76,15 +76,15 @@
     router: &Arc<Router>,
     key: &RequestKey,
     digest: u64,
-    reached: Option<Reached>,
-) -> Result<Claimed, CallerError> {
-    let mut round = router.shelf.fence(key).unwrap_or_default();
+    position: Option<Position>,
+) -> Result<Ownership, CallerError> {
+    let mut round = router.journals.fence(key).unwrap_or_default();
     for _ in 0..MAX_ROUNDS {
         let epoch = round.succeed(router.incarnation);
-        let found = seal_all(router, key, epoch, digest, reached).await?;
-        match found.higher {
+        let results = seal_all(router, key, epoch, digest, position).await?;
+        match results.higher {
             Some(higher) => round = round.max(higher),
-            None => return Ok(build(found, epoch, digest, reached)),
+            None => return Ok(continue_latest(results, epoch, digest, position)),
         }
     }
     let message = "other connections keep repeating the request; close them and repeat it once";
@@ -97,32 +97,32 @@
     key: &RequestKey,
     epoch: Epoch,
     digest: u64,
-    reached: Option<Reached>,
-) -> Result<Found, CallerError> {
-    let mut found = Found {
+    position: Option<Position>,
+) -> Result<SealResults, CallerError> {
+    let mut results = SealResults {
         is_complete: true,
-        ..Found::default()
+        ..SealResults::default()
     };
-    let own = router.shelf.seal(router.timer.now(), key, epoch, digest);
-    note(&mut found, own)?;
+    let own = router.journals.seal(router.timer.now(), key, epoch, digest);
+    record(&mut results, own)?;
     let hosts = router.holders(key);
-    let mut awaited = hosts.iter().filter(|h| h.alive).count();
+    let mut pending = hosts.iter().filter(|h| h.alive).count();
     let mut calls: FuturesUnordered<_> = hosts
         .iter()
         .map(|host| seal_one(router, host, key, epoch, digest))
         .collect();
     while let Some((is_alive, sealed)) = calls.next().await {
-        awaited -= usize::from(is_alive);
+        pending -= usize::from(is_alive);
         match sealed {
-            Some(sealed) => note(&mut found, sealed)?,
-            None => found.is_complete = false,
+            Some(sealed) => record(&mut results, sealed)?,
+            None => results.is_complete = false,
         }
-        if awaited == 0 && is_enough(&found, reached) {
-            found.is_complete &= calls.is_empty();
+        if pending == 0 && covers_position(&results, position) {
+            results.is_complete &= calls.is_empty();
             break;
         }
     }
-    Ok(found)
+    Ok(results)
 }
 
 /// Seals the journal on one host; `None` if it gave no answer.
@@ -134,28 +134,32 @@
     digest: u64,
 ) -> (bool, Option<Result<Option<Snapshot>, Refusal>>) {
     let peer = router.links.peer(host.router);
-    let answer = peer.link.seal(key, epoch, digest, SEAL_LIMIT).await;
+    let answer = peer.link.seal(key, epoch, digest, SEAL_TIMEOUT).await;
     let sealed = answer.ok().map(|sealed| sealed.map(|s| s.snapshot));
     (host.alive, sealed)
 }
 
 /// Whether the hosts that are taken as dead need not be waited for.
-fn is_enough(found: &Found, reached: Option<Reached>) -> bool {
-    let Some(reached) = reached else {
+fn covers_position(results: &SealResults, position: Option<Position>) -> bool {
+    let Some(position) = position else {
         return true;
     };
     let covers = |s: &Snapshot| {
         let length = Offset(s.tokens.len() as u64);
-        s.header.covers(reached.generation, reached.offset, length)
+        s.header
+            .covers(position.generation, position.offset, length)
     };
-    found.snapshots.iter().any(covers)
+    results.snapshots.iter().any(covers)
 }
 
 /// Takes in the answer of one host.
-fn note(found: &mut Found, sealed: Result<Option<Snapshot>, Refusal>) -> Result<(), CallerError> {
+fn record(
+    results: &mut SealResults,
+    sealed: Result<Option<Snapshot>, Refusal>,
+) -> Result<(), CallerError> {
     match sealed {
-        Ok(snapshot) => found.snapshots.extend(snapshot),
-        Err(Refusal::Sealed(epoch)) => found.higher = found.higher.max(Some(epoch)),
+        Ok(snapshot) => results.snapshots.extend(snapshot),
+        Err(Refusal::Sealed(epoch)) => results.higher = results.higher.max(Some(epoch)),
         Err(Refusal::OtherRequest) => {
             let message = "the key was used for a request with another body; choose a new key";
             return Err(CallerError::not_run(Kind::KeyReused, message));
@@ -166,20 +170,25 @@
 }
 
 /// Continues the best journal, if the caller's place is in it.
-fn build(found: Found, epoch: Epoch, digest: u64, reached: Option<Reached>) -> Claimed {
-    let is_complete = found.is_complete;
-    let Some(best) = choice::latest(found.snapshots) else {
-        return Claimed {
-            is_restart: reached.is_some(),
-            ..fresh(epoch, digest)
+fn continue_latest(
+    results: SealResults,
+    epoch: Epoch,
+    digest: u64,
+    position: Option<Position>,
+) -> Ownership {
+    let is_complete = results.is_complete;
+    let Some(best) = choice::latest(results.snapshots) else {
+        return Ownership {
+            is_restart: position.is_some(),
+            ..new_generation(epoch, digest)
         };
     };
     let length = Offset(best.tokens.len() as u64);
-    let is_covered = reached.is_none_or(|r| best.header.covers(r.generation, r.offset, length));
+    let is_covered = position.is_none_or(|r| best.header.covers(r.generation, r.offset, length));
     if !is_covered {
-        return Claimed {
+        return Ownership {
             is_restart: true,
-            ..fresh(epoch, digest)
+            ..new_generation(epoch, digest)
         };
     }
     let mut header = best.header;
@@ -191,12 +200,12 @@
             start: length,
         });
     }
-    Claimed {
+    Ownership {
         epoch,
         header,
         tokens: best.tokens,
         finish: best.finish,
-        delivered: reached.map_or(Offset(0), |r| r.offset),
+        delivered: position.map_or(Offset(0), |r| r.offset),
         is_restart: false,
     }
 }
--- a/crates/gooseberry-router/tests/free_places.rs
+++ b/crates/gooseberry-router/tests/free_places.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use base::prelude::*;
-use gooseberry_router::backends::{Backend, Placed};
+use gooseberry_router::backends::{Backend, Placement};
 use peer::agent::BackendView;
 
 /// The places of the server, and the requests that its report counts.
@@ -33,8 +33,8 @@
 #[test]
 fn placed_since_report() {
     let first = Arc::new(Backend::adopt(Millis(1_000), view(), &[]));
-    let placed: Vec<Placed> = (0..5)
-        .map(|_| Placed::new(first.clone(), Millis(1_010), false))
+    let placed: Vec<Placement> = (0..5)
+        .map(|_| Placement::new(first.clone(), Millis(1_010), false))
         .collect();
     // Views come for other servers as well; each carries the same old report of this one.
     let mut held = first;
@@ -42,6 +42,6 @@
         held = Arc::new(Backend::adopt(Millis(at), view(), &[held]));
     }
     // The report was made before any of the five was placed, and counts none of them.
-    assert_eq!(held.free(Millis(1_300)), SLOTS - REPORTED - 5);
+    assert_eq!(held.free_slots(Millis(1_300)), SLOTS - REPORTED - 5);
     drop(placed);
 }
--- a/crates/gooseberry-router/tests/resume_target.rs
+++ b/crates/gooseberry-router/tests/resume_target.rs
@@ -9,7 +9,7 @@
 use base::prelude::*;
 use engine::wire::{is_sampled, prompt_blocks};
 use generation::policy::Mode;
-use gooseberry_router::backends::{Backend, Placed, Want, place};
+use gooseberry_router::backends::{Backend, Placement, PlacementRequest, place};
 use gooseberry_router::config::Snapshot;
 use gooseberry_router::context::Router;
 use peer::agent::BackendView;
@@ -51,10 +51,10 @@
 }
 
 /// Places a resume and returns its backend server.
-fn resume(router: &Router, blocks: &[u64], mode: Mode) -> (String, Placed) {
+fn resume(router: &Router, blocks: &[u64], mode: Mode) -> (String, Placement) {
     let profile = json!({ "name": "drafts", "resume": { "mode": mode, "resumes": 2 } });
     let profile: Profile = serde_json::from_value(profile).expect("a profile");
-    let want = Want {
+    let want = PlacementRequest {
         service: &ServiceName::from("draft-model"),
         profile: &profile,
         model: None,
@@ -63,7 +63,7 @@
         is_resume: true,
     };
     let placed = place(router, &want).expect("a backend server is usable");
-    (placed.backend.seen.backend.0.clone(), placed)
+    (placed.backend.view.backend.0.clone(), placed)
 }
 
 #[test]
@@ -71,7 +71,7 @@
     let near = backend("near", "vn-south-a", Vec::new());
     let far = backend("far", "vn-south-b", Vec::new());
     let router = router(vec![near, far]);
-    let mut placed: Vec<(String, Placed)> = (0..4)
+    let mut placed: Vec<(String, Placement)> = (0..4)
         .map(|_| resume(&router, &[], Mode::Latency))
         .collect();
     let names: Vec<&str> = placed.iter().map(|(name, _)| name.as_str()).collect();
@@ -88,7 +88,7 @@
     let router = router(vec![failed.clone(), sound]);
     failed.suspect(router.timer.now());
     assert_eq!(resume(&router, &[], Mode::Latency).0, "sound");
-    failed.trust();
+    failed.clear_suspicion();
     assert_eq!(resume(&router, &[], Mode::Latency).0, "failed");
 }
 
