--- a/crates/gooseberry-router/src/admit.rs
+++ b/crates/gooseberry-router/src/admit.rs
@@ -1,4 +1,7 @@
-//! Admission of requests: asks the gate, waits for its answer and frees the place at the end.
+//! Admission of requests by the controller of the `admission` crate.
+//!
+//! A request waits until the controller starts or refuses it; its permit releases the capacity when
+//! the request ends.
 
 mod bounds;
 
@@ -15,19 +18,19 @@
 use crate::context::Router;
 use crate::errors::{CallerError, Kind};
 
-/// The time between looks at what waits.
+/// Interval of the ticks that refuse expired requests and start waiting ones.
 const TICK_INTERVAL: Millis = Millis(20);
 
-/// The greatest random addition to the time after which a caller is to come back.
+/// Upper bound of the random jitter added to `Retry-After`.
 const RETRY_JITTER: Millis = Millis(1_000);
 
-/// What the gate decided.
+/// Decision on a request: started, or refused with the reason and the time after which to retry.
 type Decision = Result<(), (Reason, Millis)>;
 
-/// The gate of a router and the requests that wait at it.
+/// Admission controller of a router, with the requests that wait for it.
 ///
-/// The lock is held for one decision, once when a request arrives and once when it ends; nothing
-/// on the path of a token takes it.
+/// The lock is held for one decision, once when a request arrives and once when it ends; it is not
+/// taken per token.
 #[derive(Debug, Default)]
 pub struct Admission {
     inner: Mutex<Inner>,
@@ -41,22 +44,22 @@
     budgets: Sorted<ProfileName, RetryBudget>,
 }
 
-/// A request that asks to be run.
+/// A request for admission.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionRequest<'a> {
-    /// The profile.
+    /// Profile under whose limits the request runs.
     pub profile: &'a Profile,
-    /// The workspace.
+    /// Workspace to whose share it is accounted.
     pub workspace: &'a Workspace,
-    /// The work that it asks for, as the most tokens of its output.
+    /// Cost in fair queueing: the maximum number of tokens of its output.
     pub cost: u64,
-    /// When its first output must be there.
+    /// Time by which the caller must have the first output.
     pub deadline: Millis,
-    /// Whether it goes on with work that was admitted before and must not wait.
+    /// Whether it continues work that was admitted before, and so starts without waiting.
     pub is_admitted: bool,
 }
 
-/// A place in the gate; dropping it frees the place.
+/// Capacity held by an admitted request; released on drop.
 pub struct Permit {
     router: Arc<Router>,
     profile: ProfileName,
@@ -64,7 +67,7 @@
     started: Millis,
 }
 
-/// A request at the gate; dropped without an answer, it is forgotten.
+/// Cancels a waiting request on drop, if it was neither started nor refused.
 struct WaitGuard<'a> {
     router: &'a Router,
     number: u64,
@@ -92,11 +95,11 @@
     }
 }
 
-/// Waits until a request may run.
+/// Waits until a request may start.
 ///
 /// # Errors
 ///
-/// `Overloaded` if it was not run and will not be; it says when to come back.
+/// `Overloaded` if the request is refused; it was not run, and `Retry-After` is set.
 pub async fn admit(
     router: &Arc<Router>,
     request: &AdmissionRequest<'_>,
@@ -114,12 +117,12 @@
     match decision.await {
         Ok(Ok(())) => Ok(permit()),
         Ok(Err((reason, after))) => Err(overloaded(reason, after)),
-        // The gate answers each request before it forgets it.
+        // Not expected: each request is started or refused before its sender is dropped.
         Err(_) => Err(overloaded(Reason::Expired, RETRY_JITTER)),
     }
 }
 
-/// Looks for ever at what waits, so that nothing waits beyond its deadline.
+/// Ticks the controller for ever while requests wait, so that none waits beyond its deadline.
 pub async fn tick_forever(router: Arc<Router>) {
     let mut ticks = router.timer.every(TICK_INTERVAL);
     loop {
@@ -140,14 +143,14 @@
 }
 
 impl Admission {
-    /// Takes one retry out of the budget of a profile, if there is one.
+    /// Spends one retry of the budget of a profile; `false` if the budget is exhausted.
     pub fn spend_retry(&self, profile: &ProfileName) -> bool {
         let mut inner = self.lock();
         let budget = inner.budgets.entry(profile.clone(), RetryBudget::default);
         budget.spend()
     }
 
-    /// The gate, for a state dump.
+    /// State of the controller, for state dumps.
     pub fn dump(&self) -> Value {
         let inner = self.lock();
         let classes = inner.controller.profiles();
@@ -197,7 +200,7 @@
 }
 
 impl Inner {
-    /// Tells those who wait what was decided.
+    /// Sends the decisions to the waiting requests.
     fn answer(&mut self, actions: Vec<Action>) {
         for action in actions {
             let (ticket, decision) = match action {
@@ -209,22 +212,23 @@
                 } => (ticket, Err((reason, after))),
             };
             if let Some(sender) = self.waiting.remove(&ticket) {
-                // A request waits until it is answered, or its ticket takes it out of the gate.
+                // Cannot fail: a request that is dropped while it waits is removed from `waiting`
+                // first.
                 let _ = sender.send(decision);
             }
         }
     }
 }
 
-/// The answer to a request that was not run.
+/// Error for a refused request, which was not run.
 fn overloaded(reason: Reason, after: Millis) -> CallerError {
     let jitter = Millis(rand::random_range(0..RETRY_JITTER.0));
     let seconds = (after + jitter).0.div_ceil(1_000);
     let cause = match reason {
-        Reason::QueueFull => "too many requests wait",
-        Reason::TooLate => "no start within the deadline can be had",
-        Reason::Expired => "no place was free before the deadline",
+        Reason::QueueFull => "the queue of waiting requests is full",
+        Reason::TooLate => "the request cannot start within its deadline",
+        Reason::Expired => "no capacity became free before the deadline",
     };
-    let message = format!("{cause}; repeat the request after {seconds} s");
+    let message = format!("{cause}; retry the request after {seconds} s");
     CallerError::not_run(Kind::Overloaded, message).retry_after(seconds)
 }
--- a/crates/gooseberry-router/src/admit/bounds.rs
+++ b/crates/gooseberry-router/src/admit/bounds.rs
@@ -1,4 +1,4 @@
-//! This router's part of the limits, from the members of the system that it sees.
+//! This router's share of the limits, derived from the hosts and backend servers in its snapshot.
 
 use admission::{ProfileBounds, WorkspaceBounds, limit_share};
 use base::prelude::*;
@@ -9,10 +9,10 @@
 use crate::config::Snapshot;
 use crate::context::Router;
 
-/// What stands for no limit; far below the largest number, so that sums do not overflow.
+/// Stands for no limit; far below `u64::MAX`, so that sums do not overflow.
 const UNLIMITED: u64 = u32::MAX as u64;
 
-/// What this router may do under a profile.
+/// Bounds of this router for the requests of a profile.
 pub(super) fn profile_bounds(
     router: &Router,
     snapshot: &Snapshot,
@@ -31,7 +31,7 @@
     }
 }
 
-/// What this router may do for a workspace.
+/// Bounds of this router for the requests of a workspace.
 pub(super) fn workspace_bounds(
     router: &Router,
     snapshot: &Snapshot,
@@ -46,10 +46,12 @@
     }
 }
 
-/// This router's part of what the backend servers of a profile carry, in all data centres.
+/// This router's share of the slots of the backend servers of a profile, in all data centres;
+/// [`UNLIMITED`] if one of them has an unknown number of slots.
 ///
-/// Places that others leave free are divided anew: a router may go beyond its part by an equal
-/// share of what the load reports show as free.
+/// Capacity that other routers do not use is shared as well: beyond its in-flight count, a router
+/// may use an equal share of the slots that are free according to the load reports, if that is
+/// more.
 fn capacity_share(router: &Router, snapshot: &Snapshot, profile: &Profile) -> u64 {
     let servers = servers(snapshot, profile);
     if servers.clone().any(|b| b.view.slots == 0) {
@@ -66,8 +68,8 @@
     router_share(router, snapshot, slots, false).max(own + free / routers)
 }
 
-/// The time within which first tokens come under a profile, at most half of its
-/// deadline.
+/// Time within which first tokens are expected under a profile: the 90th percentile of the latency
+/// bounds of its servers, at most half of its deadline.
 fn first_output_bound(router: &Router, snapshot: &Snapshot, profile: &Profile) -> Millis {
     let now = router.timer.now();
     let mut times: Vec<u64> = servers(snapshot, profile)
@@ -79,7 +81,7 @@
     Millis(p90.min(profile.deadline_ms / 2))
 }
 
-/// The backend servers that work under a profile now.
+/// The backend servers of a profile that are alive and not leaving.
 fn servers<'a>(
     snapshot: &'a Snapshot,
     profile: &'a Profile,
@@ -92,7 +94,7 @@
     snapshot.backends.iter().map(|b| &**b).filter(is_usable)
 }
 
-/// This router's part of a limit of its data centre, or of all data centres.
+/// This router's share of a limit of its data centre (`is_local`), or of all data centres.
 fn router_share(router: &Router, snapshot: &Snapshot, limit: u64, is_local: bool) -> u64 {
     let own = &router.settings;
     let is_counted = |h: &&HostView| {
@@ -101,7 +103,7 @@
     };
     let live: Vec<&HostView> = snapshot.hosts.iter().filter(is_counted).collect();
     let rank = live.iter().position(|h| h.host == own.host);
-    // A router that is not listed yet takes the last part.
+    // A router that is not listed yet takes the last share.
     let rank = rank.unwrap_or(live.len());
     let count = live.len().max(rank + 1);
     limit_share(limit, rank as u64, count as u64)
--- a/crates/gooseberry-router/src/backends.rs
+++ b/crates/gooseberry-router/src/backends.rs
@@ -1,4 +1,4 @@
-//! The backend servers as the request path sees them.
+//! Backend servers as seen by the request path, and the placement of requests on them.
 
 mod stats;
 
@@ -14,33 +14,35 @@
 use crate::context::Router;
 use stats::ServerStats;
 
-/// How long a backend server is passed over after a loss; its load reports tell of it by then.
+/// How long a backend server is avoided after a failure; by then its load reports reflect the
+/// failure.
 const SUSPECT_PERIOD: Millis = Millis(2_000);
 
-/// The blocks of a prompt that decide on its home when no cache event tells of any.
+/// Number of leading prompt blocks whose hash selects a server when no server is known to cache any
+/// block of the prompt.
 const PREFIX_BLOCKS: usize = 8;
 
-/// The least time between two counts of the past that are kept.
+/// Minimum interval between in-flight counts kept in the history.
 const HISTORY_INTERVAL: Millis = Millis(100);
 
-/// The most counts of the past that are kept for each server; with the step they reach beyond the age
-/// at which a report is no longer used.
+/// Maximum number of in-flight counts kept per server; at [`HISTORY_INTERVAL`] they reach back
+/// further than the age at which a load report is no longer used.
 const MAX_HISTORY: usize = 32;
 
-/// A backend server and what this router has running there.
+/// A backend server, with the statistics of the requests that this router placed there.
 #[derive(Clone, Debug)]
 pub struct Backend {
-    /// What the agent tells of it.
+    /// State of the server as reported by the agent.
     pub view: BackendView,
-    /// When it was told.
+    /// When the view was received from the agent.
     received: Millis,
-    /// The requests that this router had running there when the agent's news came, oldest first.
+    /// In-flight counts of this router at the times when views were received, oldest first.
     history: Vec<(Millis, u64)>,
     stats: Arc<ServerStats>,
 }
 
 impl Backend {
-    /// A backend server with the counts of its predecessor among `held`.
+    /// Creates a backend server that keeps the statistics of its predecessor in `previous`.
     pub fn adopt(now: Millis, view: BackendView, previous: &[Arc<Backend>]) -> Self {
         let old = previous.iter().find(|b| b.view.backend == view.backend);
         let stats = old.map(|b| b.stats.clone()).unwrap_or_default();
@@ -52,8 +54,8 @@
             stats.update_health(|h| h.record_return(now));
         }
         let mut history = old.map(|b| b.history.clone()).unwrap_or_default();
-        // Views come for each change of any server; keeping a count of each would reach back less far
-        // than reports are old.
+        // A view arrives for each change of any server; with a count for each, the history would
+        // not reach back as far as the load reports.
         let is_due = history
             .last()
             .is_none_or(|(at, _)| now.since(*at) >= HISTORY_INTERVAL);
@@ -71,39 +73,39 @@
         }
     }
 
-    /// The requests that this router has running there.
+    /// Number of requests of this router that are in flight there.
     pub fn in_flight(&self) -> u64 {
         self.stats.in_flight()
     }
 
-    /// What the outcomes of its requests tell of it.
+    /// Health derived from the outcomes of the requests of this router.
     pub fn health(&self) -> Health {
         self.stats.health()
     }
 
-    /// Passes it over for a while, since a stream of it is lost or cannot be opened.
+    /// Avoids it for `SUSPECT_PERIOD`, since a stream of it failed or cannot be opened.
     pub fn suspect(&self, now: Millis) {
         self.stats.suspect(now + SUSPECT_PERIOD);
     }
 
-    /// Ends the time for which it is passed over.
+    /// Stops avoiding it, since it has accepted a stream.
     pub fn clear_suspicion(&self) {
         self.stats.suspect(Millis(0));
     }
 
-    /// The age of the load report.
+    /// Age of the load report: its age when the agent sent the view, plus the time since then.
     fn age(&self, now: Millis) -> Millis {
         Millis(self.view.age_ms) + now.since(self.received)
     }
 
-    /// The places that are free there, as far as this router knows.
+    /// Number of free slots, from the load report and the requests of this router.
     pub fn free_slots(&self, now: Millis) -> u64 {
         let reported = self.view.running + self.view.queued;
         let known = reported.saturating_add_signed(self.since_report(now));
         self.view.slots.saturating_sub(known.max(self.in_flight()))
     }
 
-    /// The requests of this router placed after the load report, less those ended since.
+    /// Change of the in-flight count of this router since the load report.
     fn since_report(&self, now: Millis) -> i64 {
         let report_time = now - self.age(now);
         let at_report = self.history.iter().rev().find(|(at, _)| *at <= report_time);
@@ -112,7 +114,7 @@
         self.in_flight() as i64 - at_report as i64
     }
 
-    /// What the choice needs to know.
+    /// Input of the load balancer for this server.
     fn server(
         &self,
         now: Millis,
@@ -138,21 +140,21 @@
     }
 }
 
-/// A request in its place at a backend server; dropping it frees the place.
+/// A request placed on a backend server, counted as in flight there until dropped.
 #[derive(Debug)]
 pub struct Placement {
-    /// The backend server.
+    /// The backend server that was chosen.
     pub backend: Arc<Backend>,
     /// When it was placed.
     at: Millis,
-    /// Whether it is a resumed one that has not gone on yet.
+    /// Whether it is a resumed request without a token from this server yet.
     is_resume: bool,
-    /// Whether its first token has come.
+    /// Whether its first token has been received.
     has_token: bool,
 }
 
 impl Placement {
-    /// Counts a request at `backend`.
+    /// Counts a request as in flight at `backend`.
     pub fn new(backend: Arc<Backend>, now: Millis, is_resume: bool) -> Self {
         backend.stats.begin(is_resume);
         Self {
@@ -163,7 +165,7 @@
         }
     }
 
-    /// A token came.
+    /// Records the first token and its latency; later calls have no effect.
     pub fn first_token(&mut self, now: Millis) {
         if self.has_token {
             return;
@@ -176,7 +178,8 @@
             .update_health(|h| h.record_first_token(now, latency));
     }
 
-    /// The request failed there; only failures before the first token tell of the server.
+    /// Records a failure; ignored after the first token, since only failures before it count
+    /// against the health of the server.
     pub fn failed(&mut self, now: Millis) {
         if !self.has_token {
             self.backend.stats.update_health(|h| h.record_failure(now));
@@ -201,34 +204,34 @@
 /// Why no backend server can be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoBackend {
-    /// None is alive and takes work.
+    /// No server of the service is alive and accepts work.
     None,
-    /// Some take work, but none has the model.
+    /// Some servers accept work, but none holds the model.
     NoModel,
 }
 
-/// What a request needs of a backend server.
+/// Requirements of a request on its backend server.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementRequest<'a> {
-    /// The service.
+    /// Service whose servers are eligible.
     pub service: &'a ServiceName,
-    /// The profile.
+    /// Profile with the balancing rule, the data centres for spill-over and the limit of resumes.
     pub profile: &'a Profile,
-    /// The model, if the service has any.
+    /// Model that the server must hold; `None` for services without models.
     pub model: Option<&'a Model>,
-    /// The hashes of the prompt's blocks.
+    /// Hashes of the blocks of the prompt; each covers the blocks before it.
     pub blocks: &'a [u64],
-    /// Servers that are taken only if there is no other.
+    /// Servers that are chosen only if there is no other.
     pub avoid: &'a [BackendId],
-    /// Whether output so far is to be continued.
+    /// Whether it continues output generated on another server.
     pub is_resume: bool,
 }
 
-/// Places one request.
+/// Chooses a backend server and places a request on it.
 ///
 /// # Errors
 ///
-/// [`NoBackend`] if no server can be used.
+/// [`NoBackend`] if no server can be chosen.
 pub fn place(router: &Router, request: &PlacementRequest<'_>) -> Result<Placement, NoBackend> {
     let snapshot = router.snapshot();
     let now = router.timer.now();
@@ -267,7 +270,8 @@
     }
 }
 
-/// Leaves only the servers that hold most of the prompt, if one with room holds any of it.
+/// Restricts the choice to the servers that cache the longest prefix of the prompt, if one with a
+/// free slot caches any of it.
 fn retain_cached(servers: &mut [Server<'_>], avoid: &[BackendId]) {
     let has_room = |s: &Server<'_>| {
         let load = s.in_flight.max(s.reported_load);
@@ -287,7 +291,7 @@
     }
 }
 
-/// The place of a data centre in the order of preference; 0 is the router's own.
+/// Rank of a data centre in the order of preference; 0 is the router's own.
 fn preference_rank(
     data_centre: &DataCentre,
     own_centre: &DataCentre,
@@ -300,9 +304,10 @@
     named.unwrap_or(spill.len()) + 1
 }
 
-/// How many of `blocks` are in the sorted list `held`, up to the last one found.
+/// Number of leading `blocks` that are cached, given the sorted hashes `held`.
 ///
-/// Each hash covers the blocks before it, so that a block whose event was lost is still counted.
+/// Each hash covers the blocks before it. All blocks up to the last one found are counted, so that
+/// a block whose cache event was lost counts as well.
 fn cached_prefix(held: &[u64], blocks: &[u64]) -> u64 {
     let last = blocks.iter().rposition(|b| held.binary_search(b).is_ok());
     last.map_or(0, |i| i as u64 + 1)
--- a/crates/gooseberry-router/src/backends/stats.rs
+++ b/crates/gooseberry-router/src/backends/stats.rs
@@ -1,14 +1,14 @@
-//! Counts and health of one backend server, read and written without locks.
+//! Lock-free counters and health of one backend server.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use balance::Health;
 use base::prelude::*;
 
-/// What this router has running at a server and what came of it.
+/// Requests of this router in flight at a server, and the health derived from their outcomes.
 ///
-/// Two outcomes at the same moment may overwrite each other's share of the health, which is a
-/// smoothed figure; the counts are exact.
+/// The counts are exact. Concurrent updates of the health may overwrite each other, which is
+/// acceptable since it is a smoothed figure.
 #[derive(Debug, Default)]
 pub(super) struct ServerStats {
     in_flight: AtomicU64,
@@ -19,12 +19,12 @@
     failures: AtomicU64,
     ejected: AtomicU64,
     returned: AtomicU64,
-    /// Until when the server is passed over.
+    /// Time until which the server is avoided, in milliseconds.
     suspect_until: AtomicU64,
 }
 
 impl ServerStats {
-    /// Counts a request in.
+    /// Counts a request as in flight, and as a resume if it is one.
     pub(super) fn begin(&self, is_resume: bool) {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         if is_resume {
@@ -32,37 +32,37 @@
         }
     }
 
-    /// Counts a request out.
+    /// Removes a request from the in-flight count.
     pub(super) fn end(&self) {
         self.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// A resumed request has gone on or was given up.
+    /// Removes a resumed request that has received a token, or ended, from the count of resumes.
     pub(super) fn end_resume(&self) {
         self.resumes.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// The requests running.
+    /// Number of requests in flight.
     pub(super) fn in_flight(&self) -> u64 {
         self.in_flight.load(Ordering::Relaxed)
     }
 
-    /// The resumed requests that have not gone on yet.
+    /// Number of resumed requests that have not received a token yet.
     pub(super) fn resumes(&self) -> u64 {
         self.resumes.load(Ordering::Relaxed)
     }
 
-    /// Passes the server over until a time.
+    /// Avoids the server until the given time; a past time ends this.
     pub(super) fn suspect(&self, until: Millis) {
         self.suspect_until.store(until.0, Ordering::Relaxed);
     }
 
-    /// Whether the server is passed over.
+    /// Whether the server is to be avoided.
     pub(super) fn is_suspect(&self, now: Millis) -> bool {
         self.suspect_until.load(Ordering::Relaxed) > now.0
     }
 
-    /// The health as it stands.
+    /// The current health.
     pub(super) fn health(&self) -> Health {
         Health {
             first_ms: self.first_ms.load(Ordering::Relaxed),
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Takes an outcome in.
+    /// Applies a change to the health.
     pub(super) fn update_health(&self, change: impl FnOnce(&mut Health)) {
         let mut health = self.health();
         change(&mut health);
--- a/crates/gooseberry-router/src/caller.rs
+++ b/crates/gooseberry-router/src/caller.rs
@@ -1,4 +1,4 @@
-//! What a caller asks for and where it stands.
+//! Parsing of requests from callers: body, key, and the position to resume from.
 
 use base::prelude::*;
 use hyper::HeaderMap;
@@ -6,45 +6,45 @@
 
 use crate::errors::{CallerError, Kind};
 
-/// The header that names a request.
+/// Request and response header with the key of a request.
 pub const KEY_HEADER: &str = "idempotency-key";
 
-/// The header with which a caller says what it already has.
+/// Request header with the id of the last event that the caller has received.
 pub const LAST_EVENT_HEADER: &str = "last-event-id";
 
-/// The longest key that a caller may choose, in bytes.
+/// Maximum length of a key, in bytes.
 const MAX_KEY_BYTES: usize = 128;
 
 /// The body of `POST /v1/completions`.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct Completion {
-    /// The service to run it on.
+    /// Name of the service that runs the request.
     pub model: String,
-    /// The prompt.
+    /// Prompt of the model; must not be empty.
     pub prompt: String,
-    /// The most tokens in the output.
+    /// Maximum number of tokens in the output; the limit of the profile applies as well.
     #[serde(default = "default_max_tokens")]
     pub max_tokens: u64,
-    /// Whether the output is sent as it comes.
+    /// Whether the output is streamed as server-sent events.
     #[serde(default)]
     pub stream: bool,
 }
 
-/// The default of [`Completion::max_tokens`].
+/// Default of [`Completion::max_tokens`].
 fn default_max_tokens() -> u64 {
     1_024
 }
 
-/// The place that a caller has reached in an answer.
+/// Position in an output up to which a caller has received it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Position {
-    /// The generation.
+    /// Generation of the last event that it has received.
     pub generation: GenerationId,
-    /// The offset of the next token.
+    /// Offset of the next token to send.
     pub offset: Offset,
 }
 
-/// The key in the headers, if there is one.
+/// Reads the key from the headers; `None` if there is none.
 ///
 /// # Errors
 ///
@@ -67,11 +67,11 @@
     }
 }
 
-/// The place named in the headers, if there is one.
+/// Reads the position from the headers; `None` if there is none.
 ///
 /// # Errors
 ///
-/// `Malformed` if it is not an event id of this system.
+/// `Malformed` if it is not the id of an event, `<generation>:<offset>`.
 pub fn position(headers: &HeaderMap) -> Result<Option<Position>, CallerError> {
     let Some(value) = headers.get(LAST_EVENT_HEADER) else {
         return Ok(None);
@@ -86,7 +86,7 @@
     }
 }
 
-/// Reads `<generation>:<offset>`.
+/// Parses `<generation>:<offset>`.
 fn parse_event_id(text: &str) -> Option<Position> {
     let (generation, offset) = text.split_once(':')?;
     Some(Position {
--- a/crates/gooseberry-router/src/completions.rs
+++ b/crates/gooseberry-router/src/completions.rs
@@ -1,4 +1,5 @@
-//! `POST /v1/completions`.
+//! Handler of `POST /v1/completions`: checks, ownership, admission, and the start of the
+//! generation.
 
 use std::sync::Arc;
 
@@ -21,17 +22,17 @@
 use crate::output::{collect, write_events};
 use crate::takeover::{self, Ownership};
 
-/// The outputs that wait for the writer.
+/// Capacity of the channel from the driver to the writer of the response.
 const MAX_OUTPUTS: usize = 4;
 
-/// The header with the version of the configuration under which an answer was made.
+/// Response header with the version of the configuration in force when the request arrived.
 const VERSION_HEADER: &str = "gooseberry-version";
 
-/// Answers one request.
+/// Handles one request.
 ///
 /// # Errors
 ///
-/// Any [`CallerError`] of a request that did not start.
+/// A [`CallerError`] if the generation was not started.
 pub async fn handle(
     router: &Arc<Router>,
     request: Request<Incoming>,
@@ -79,7 +80,7 @@
     Ok(response)
 }
 
-/// Starts the generation and the writing of its output.
+/// Starts the generation, and streams or collects its output.
 async fn run(
     router: &Arc<Router>,
     permit: Permit,
@@ -102,12 +103,13 @@
     response.unwrap_or_else(|| interrupted().response())
 }
 
-/// The key of a request and the place that its caller has reached.
+/// Key of a request, and the position that its caller has reached.
 struct Identity {
-    /// The key, with its workspace.
+    /// The key, prefixed with its workspace.
     key: RequestKey,
-    /// The key as the caller knows it.
+    /// The key as shown to the caller.
     shown: String,
+    /// Whether this router created the key, since the caller gave none.
     is_minted: bool,
     position: Option<Position>,
 }
@@ -126,7 +128,7 @@
         })
     }
 
-    /// Takes ownership of the request; a minted key cannot run elsewhere.
+    /// Takes ownership of the request; no other router can own one whose key was minted here.
     async fn claim(&self, router: &Arc<Router>, digest: u64) -> Result<Ownership, CallerError> {
         if self.is_minted {
             let epoch = Epoch::default().succeed(router.incarnation);
@@ -136,7 +138,7 @@
     }
 }
 
-/// A key that no other request has.
+/// Creates a unique key.
 fn mint(router: &Router) -> String {
     format!(
         "{:016x}{:016x}",
@@ -145,7 +147,7 @@
     )
 }
 
-/// The largest body that any profile takes.
+/// Maximum body size of all profiles, in bytes.
 fn largest_body(document: &Document) -> usize {
     let limits = document.profiles.iter().map(|p| p.limits.body_bytes);
     limits.max().unwrap_or(0)
@@ -153,7 +155,9 @@
 
 fn parse(body: &[u8]) -> Result<Completion, CallerError> {
     serde_json::from_slice(body).map_err(|e| {
-        let message = format!("the body is not as expected: {e}; correct it and send it again");
+        let message = format!(
+            "the body is not a valid completion request: {e}; correct it and send it again"
+        );
         CallerError::not_run(Kind::Malformed, message)
     })
 }
@@ -192,7 +196,7 @@
     Ok(())
 }
 
-/// The model that began the output, or the default of the service.
+/// The model that generated the output so far, or the first model of the service.
 fn model(ownership: &Ownership, service: &Service) -> Model {
     if ownership.tokens.is_empty() && ownership.header.stream.is_none() {
         return service.models.first().cloned().unwrap_or_default();
@@ -200,7 +204,7 @@
     ownership.header.model.clone()
 }
 
-/// A digest of what makes two requests the same.
+/// Digest of the fields in which a retry must equal the first request.
 fn digest(completion: &Completion) -> u64 {
     let Completion {
         model,
@@ -211,7 +215,7 @@
     stable(format!("{model}\n{max_tokens}\n{prompt}").as_bytes())
 }
 
-/// The caller's error of a body that cannot be read.
+/// The error for a body that cannot be read.
 pub fn body_error(error: BodyError) -> CallerError {
     let kind = match error {
         BodyError::TooLarge { .. } => Kind::TooLarge,
@@ -220,7 +224,7 @@
     CallerError::not_run(kind, error.to_string())
 }
 
-/// The caller's error of an output that broke off.
+/// The error for an output that was interrupted.
 fn interrupted() -> CallerError {
     CallerError {
         kind: Kind::Lost,
--- a/crates/gooseberry-router/src/context.rs
+++ b/crates/gooseberry-router/src/context.rs
@@ -1,4 +1,4 @@
-//! What the parts of a router share.
+//! State shared by all tasks of a router.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -19,37 +19,37 @@
 use crate::registry::Registry;
 use crate::services::repeat::Budgets;
 
-/// A router.
+/// Shared state of a router process.
 pub struct Router {
-    /// The settings.
+    /// Settings of the process, read at start.
     pub settings: Settings,
-    /// The timer.
+    /// Clock and timers of the process.
     pub timer: Timer,
-    /// The life of this process.
+    /// Incarnation of this process, random at start.
     pub incarnation: Incarnation,
-    /// The journals of this host.
+    /// Journals of this host: of its own requests, and as witness of others.
     pub journals: Journals,
-    /// Connections to other routers.
+    /// Connections to the routers of other hosts.
     pub links: Links,
-    /// The requests in flight.
+    /// Requests in flight.
     pub registry: Registry,
-    /// The claims of calls that may not repeat.
+    /// Claims of calls that must not be executed twice.
     pub claims: Claims,
-    /// The retries of calls that may repeat.
+    /// Retry budgets of calls that may be retried.
     pub budgets: Budgets,
-    /// Metrics.
+    /// Client to which metrics are sent.
     pub metrics: cadence::StatsdClient,
-    /// Cancelled when the host takes no new work.
+    /// Cancelled when the host starts to drain.
     pub drain: CancellationToken,
-    /// The limits and the queue.
+    /// Admission controller and the requests that wait for it.
     pub admission: Admission,
-    /// The number of backend servers chosen so far.
+    /// Number of choices of a backend server so far, for rules such as round robin.
     pub choice_count: AtomicU64,
     snapshot: ArcSwap<Snapshot>,
 }
 
 impl Router {
-    /// A router without configuration.
+    /// Creates the state of a router without configuration, which is not ready.
     pub fn new(settings: Settings, timer: Timer, metrics: cadence::StatsdClient) -> Self {
         Self {
             journals: Journals::new(&settings.journal),
@@ -68,25 +68,25 @@
         }
     }
 
-    /// What is in force now.
+    /// The snapshot in force: configuration, hosts and backend servers.
     pub fn snapshot(&self) -> Arc<Snapshot> {
         self.snapshot.load_full()
     }
 
-    /// Puts a snapshot into force.
+    /// Replaces the snapshot in force.
     pub fn swap(&self, snapshot: Snapshot) {
         self.snapshot.store(Arc::new(snapshot));
     }
 
-    /// Whether the host takes new work, or why not.
+    /// Whether the host accepts new work.
     ///
     /// # Errors
     ///
-    /// The reason.
+    /// Why it does not: the host is leaving, or has no configuration yet.
     pub fn ready(&self) -> Result<(), &'static str> {
         let snapshot = self.snapshot();
         if snapshot.drain || self.drain.is_cancelled() {
-            return Err("the host is leaving; repeat the request on another");
+            return Err("the host is leaving; retry the request on another host");
         }
         if snapshot.document.version.0 == 0 {
             return Err("no configuration yet: neither the platform nor a peer has given one");
@@ -94,15 +94,15 @@
         Ok(())
     }
 
-    /// The hosts that may witness `key`, most preferred first.
+    /// Candidate witnesses of `key`: hosts that are alive and not leaving, most preferred first.
     pub fn witnesses(&self, key: &RequestKey) -> Vec<HostId> {
         let snapshot = self.snapshot();
         let usable = |h: &&HostView| h.alive && !h.leaving;
         choice::candidates(key, &self.candidates(snapshot.hosts.iter().filter(usable)))
     }
 
-    /// The hosts that may hold a journal of `key`: the first ones of each data centre, since an
-    /// owner prefers witnesses of its own, wherever that is.
+    /// The hosts that may hold a journal of `key`: the highest-ranked ones of each data centre,
+    /// since the owner may be in any of them and prefers witnesses in its own.
     pub fn holders(&self, key: &RequestKey) -> Vec<HostView> {
         let snapshot = self.snapshot();
         let mut centres: Vec<&DataCentre> = snapshot.hosts.iter().map(|h| &h.data_centre).collect();
@@ -117,14 +117,14 @@
         snapshot.hosts.iter().filter(is_holder).cloned().collect()
     }
 
-    /// The address of the router of `host`.
+    /// Address on which the router of `host` accepts peer calls; `None` if the host is not listed.
     pub fn address(&self, host: &HostId) -> Option<std::net::SocketAddr> {
         let snapshot = self.snapshot();
         let found = snapshot.hosts.iter().find(|h| h.host == *host);
         found.map(|h| h.router)
     }
 
-    /// The hosts but this one, as candidates.
+    /// The hosts, except this one, as candidates for a witness.
     fn candidates<'a>(&self, hosts: impl Iterator<Item = &'a HostView>) -> Vec<Candidate> {
         hosts
             .filter(|h| h.host != self.settings.host)
--- a/crates/gooseberry-router/src/drive.rs
+++ b/crates/gooseberry-router/src/drive.rs
@@ -1,4 +1,7 @@
-//! One generation from claim to end: carries out what its state machines ask for.
+//! Driver task of one generation, from claim to end.
+//!
+//! It passes events of the caller, the engines and the witness to the state machines of the
+//! `generation` and `journal` crates, and performs the actions that they return.
 
 mod attempts;
 mod journalling;
@@ -23,40 +26,41 @@
 use crate::takeover::Ownership;
 use attempts::Attempts;
 
-/// The most tokens that wait for a slow caller before the engines are no longer read.
+/// Number of tokens queued for a slow caller at which reading from the engines pauses.
 const MAX_QUEUED: usize = 256;
 
-/// The most news of engines that wait for the driver.
+/// Capacity of the channel from the engine connections to the driver.
 const MAX_UPDATES: usize = 64;
 
-/// The time between appends to this host's own journal when there are no tokens.
+/// Interval of appends to this host's own journal while there are no tokens, so that it is not
+/// expired as idle.
 const APPEND_INTERVAL: Millis = Millis(2_000);
 
-/// The least time between two notes of a request's state for dumps.
+/// Minimum interval between updates of the request's state for dumps.
 const STATE_INTERVAL: Millis = Millis(100);
 
-/// The part of the deadline that is left for the way back to the caller.
+/// Part of the deadline reserved for the response to reach the caller.
 const RETURN_MARGIN: Millis = Millis(50);
 
-/// The seconds after which a caller is told to come back.
+/// `Retry-After` of failures that a retry may cure, in seconds.
 const RETRY_AFTER_S: u64 = 1;
 
-/// What a generation is to do.
+/// Parameters of a generation.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// The request, with its workspace.
+    /// Key of the request, prefixed with its workspace.
     pub key: RequestKey,
-    /// The service.
+    /// Service that the request names.
     pub service: ServiceName,
-    /// The model.
+    /// Model that generates the output.
     pub model: Model,
-    /// The profile.
+    /// Profile of the service, as of the arrival of the request.
     pub profile: Profile,
-    /// The prompt.
+    /// Prompt of the request, without any output.
     pub prompt: Arc<str>,
-    /// The most tokens in the output.
+    /// Maximum number of tokens in the output.
     pub max_tokens: u64,
-    /// When the first token must be there.
+    /// Time by which the caller must have the first token.
     pub deadline: Millis,
 }
 
@@ -72,21 +76,22 @@
     ack_sender: mpsc::UnboundedSender<AppendAck>,
     ack_receiver: mpsc::UnboundedReceiver<AppendAck>,
     end: Option<FinishReason>,
-    /// The tokens in this host's own journal.
+    /// Number of tokens in this host's own journal.
     local_length: Offset,
     last_append: Millis,
-    /// When the state was last put where dumps find it.
+    /// When the state for dumps was last updated.
     last_record: Option<Millis>,
     is_verifying: bool,
     queue: VecDeque<Output>,
-    /// The tokens in the queue.
+    /// Number of tokens in the queue.
     queued: usize,
     is_reading: bool,
     is_disconnected: bool,
+    /// Number of the request in the registry.
     number: u64,
 }
 
-/// Runs one generation to its end, writing to `output`.
+/// Runs one generation to its end and sends its output to `output`.
 pub async fn drive(
     router: Arc<Router>,
     job: Job,
@@ -189,7 +194,8 @@
         self.finish();
     }
 
-    /// Writes the first journal and opens or resumes the first stream.
+    /// Writes the initial journal, and opens the first stream or reattaches to that of a previous
+    /// owner.
     fn begin(&mut self) {
         let now = self.router.timer.now();
         let mut actions = Vec::new();
@@ -202,7 +208,7 @@
         self.dispatch(Event::Tick);
     }
 
-    /// Tells the generation what happened and carries out what it asks for.
+    /// Passes an event to the state machine of the generation and performs the resulting actions.
     fn dispatch(&mut self, event: Event) {
         let mut actions = Vec::new();
         let now = self.router.timer.now();
@@ -269,7 +275,7 @@
         self.dispatch(Event::Tick);
     }
 
-    /// When the first token is of no more use; never, once it has come.
+    /// When the generation fails for lack of a first token; [`Millis::MAX`] once there is one.
     fn first_deadline(&self) -> Millis {
         if self.generation.tokens().is_empty() {
             self.job.deadline - RETURN_MARGIN
@@ -286,7 +292,7 @@
         self.set_reading();
     }
 
-    /// Begins a new generation under a higher epoch, so that the old journal is not continued.
+    /// Starts a new generation under a higher epoch, so that the old journal is not continued.
     fn restart(&mut self) {
         let now = self.router.timer.now();
         self.epoch = self.epoch.succeed(self.router.incarnation);
@@ -309,7 +315,7 @@
         let _ = self.router.metrics.count(&format!("recovered.{how}"), 1);
         let _ = self.router.metrics.time("silence_ms", silence_ms);
         log::info!(
-            "output goes on key={} host={} generation={} how={how} silence_ms={silence_ms}",
+            "output continues after an interruption key={} host={} generation={} how={how} silence_ms={silence_ms}",
             self.job.key,
             self.router.settings.host,
             self.header.generation()
@@ -338,7 +344,7 @@
 
     fn fail(&mut self, failure: Failure) {
         log::warn!(
-            "request ended without its whole output key={} host={} cause=\"{failure}\"",
+            "request failed before its output was complete key={} host={} cause=\"{failure}\"",
             self.job.key,
             self.router.settings.host
         );
@@ -362,7 +368,7 @@
         }));
     }
 
-    /// Whether the request was run, as far as is certain.
+    /// Whether the request was executed, as far as the driver can tell.
     fn ran(&self) -> Ran {
         if !self.generation.tokens().is_empty() {
             Ran::Ran
@@ -379,7 +385,7 @@
         }
     }
 
-    /// Hands the next output to the writer.
+    /// Sends the next queued output to the writer.
     fn write(&mut self, permit: mpsc::Permit<'_, Output>) {
         let Some(output) = self.queue.pop_front() else {
             return;
@@ -391,7 +397,7 @@
         self.set_reading();
     }
 
-    /// Reads the engines only while the caller keeps up.
+    /// Pauses or continues reading from the engines, depending on the queued tokens.
     fn set_reading(&mut self) {
         let is_reading = self.queued < MAX_QUEUED;
         if is_reading != self.is_reading {
@@ -400,7 +406,7 @@
         }
     }
 
-    /// Keeps the state dump true, without the work of it at each token.
+    /// Updates the state for dumps, at most once per [`STATE_INTERVAL`] to save the work per token.
     fn record_state(&mut self) {
         let now = self.router.timer.now();
         if self
@@ -425,7 +431,7 @@
         });
     }
 
-    /// Tells the witness that the journal need not be kept for a takeover.
+    /// Ends all connections, and closes the journal if the caller has received the complete output.
     fn finish(&mut self) {
         self.attempts.detach_all();
         if self.generation.is_complete() && !self.is_disconnected {
--- a/crates/gooseberry-router/src/drive/attempts.rs
+++ b/crates/gooseberry-router/src/drive/attempts.rs
@@ -1,4 +1,4 @@
-//! The engine streams of one generation and their connections.
+//! Engine streams of one generation, one per attempt, and their connections.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,10 +16,11 @@
 use crate::context::Router;
 use crate::stream::{Connection, StreamUpdate, cancel};
 
-/// The factor by which a profile's priority goes before the work already done.
+/// Weight of a profile's priority in the priority sent to the engine; below it, streams with more
+/// output come first.
 const PRIORITY_FACTOR: u32 = 1_000;
 
-/// One engine stream.
+/// The engine stream of one attempt.
 #[derive(Debug)]
 struct EngineStream {
     attempt: Attempt,
@@ -27,15 +28,16 @@
     addr: SocketAddr,
     name: StreamName,
     incarnation: Option<Incarnation>,
-    /// The number of the connection in use.
+    /// Number of the current connection; updates from earlier ones are ignored.
     connection: u64,
     stop: CancellationToken,
     is_over: bool,
-    /// Counts the stream at its backend server while it runs.
+    /// Counts the stream as in flight at its backend server; `None` once it is over, or if the
+    /// server is not listed.
     placement: Option<Placement>,
 }
 
-/// All engine streams of a generation, the ended ones included.
+/// All engine streams of a generation, including ended ones.
 #[derive(Debug)]
 pub(super) struct Attempts {
     streams: Vec<EngineStream>,
@@ -52,7 +54,7 @@
         }
     }
 
-    /// Takes the stream of a previous owner as attempt 1.
+    /// Adds the stream of a previous owner as attempt 1, without a connection.
     pub(super) fn adopt(&mut self, router: &Router, stream: &StreamRef) {
         let snapshot = router.snapshot();
         let found = snapshot
@@ -62,7 +64,7 @@
         self.streams.push(EngineStream {
             attempt: Attempt(1),
             backend: stream.backend.clone(),
-            // The way to a backend server may differ from that of the previous owner.
+            // The address of a backend server may differ from the one that the previous owner used.
             addr: found.map_or(stream.addr, |b| b.view.addr),
             name: StreamName(stream.name.clone()),
             incarnation: Some(stream.incarnation),
@@ -73,14 +75,15 @@
         });
     }
 
-    /// Whether news of this connection counts.
+    /// Whether `connection` is the current one of an attempt that is not over.
     pub(super) fn is_current(&self, attempt: Attempt, connection: u64) -> bool {
         let counts =
             |s: &EngineStream| s.attempt == attempt && s.connection == connection && !s.is_over;
         self.streams.iter().any(counts)
     }
 
-    /// Takes note of what news of an attempt tells of its backend server.
+    /// Updates the health of the backend server of an attempt from the outcome that an update
+    /// reports.
     pub(super) fn observe(&mut self, now: Millis, update: &StreamUpdate) {
         let placement = self.find(update.attempt).and_then(|s| s.placement.as_mut());
         let Some(placement) = placement else {
@@ -105,15 +108,15 @@
         }
     }
 
-    /// Notes the life of the engine that runs an attempt.
+    /// Sets the incarnation of the engine that runs an attempt.
     pub(super) fn set_incarnation(&mut self, attempt: Attempt, incarnation: Incarnation) {
         if let Some(stream) = self.find(attempt) {
             stream.incarnation = Some(incarnation);
         }
     }
 
-    /// Lets other requests pass over the engine of an attempt that went silent, broke or could not
-    /// be opened, until it accepts a stream again.
+    /// Marks the backend server of an attempt that stalled, broke or could not be opened as
+    /// suspected: other requests avoid it until it accepts a stream again or the period ends.
     pub(super) fn suspect(&mut self, attempt: Attempt, now: Millis) {
         let placement = self.find(attempt).and_then(|s| s.placement.as_ref());
         if let Some(placement) = placement {
@@ -121,12 +124,12 @@
         }
     }
 
-    /// Whether no engine was ever asked for a stream.
+    /// Whether no engine has received a request for a stream.
     pub(super) fn is_unsent(&self) -> bool {
         self.streams.is_empty()
     }
 
-    /// Ends an attempt and its stream on the engine.
+    /// Ends an attempt and cancels its stream on the engine.
     pub(super) fn cancel(&mut self, attempt: Attempt) {
         let Some(stream) = self.find(attempt) else {
             return;
@@ -138,19 +141,19 @@
         tokio::spawn(cancel(stream.addr, stream.name.clone()));
     }
 
-    /// Ends an attempt and leaves its stream on the engine to others.
+    /// Ends an attempt without cancelling its stream on the engine, which another router may own.
     pub(super) fn detach(&mut self, attempt: Attempt) {
         if let Some(stream) = self.find(attempt) {
             stream.end();
         }
     }
 
-    /// Closes all connections.
+    /// Ends all attempts without cancelling their streams on the engines.
     pub(super) fn detach_all(&mut self) {
         self.streams.iter_mut().for_each(EngineStream::end);
     }
 
-    /// What a takeover needs to resume an attempt.
+    /// Reference with which a takeover resumes an attempt; `None` until the engine has accepted it.
     pub(super) fn stream_ref(&self, attempt: Attempt) -> Option<StreamRef> {
         let stream = self.streams.iter().find(|s| s.attempt == attempt)?;
         Some(StreamRef {
@@ -181,7 +184,7 @@
         self.streams.iter().map(to_json).collect()
     }
 
-    /// A new connection for an attempt; the one before it is closed.
+    /// Creates a new connection for an attempt and closes its previous one.
     fn connect(&mut self, attempt: Attempt, timeout: Duration) -> Option<(Connection, StreamName)> {
         self.connections += 1;
         let number = self.connections;
@@ -253,7 +256,7 @@
         let name = StreamName::new(generation, self.router.incarnation, attempt);
         let view = &placement.backend.view;
         log::debug!(
-            "stream opens key={} host={} attempt={attempt} backend={}",
+            "opening an engine stream key={} host={} attempt={attempt} backend={}",
             self.job.key,
             self.router.settings.host,
             view.backend
@@ -276,11 +279,12 @@
         }
     }
 
-    /// Reads the stream of an attempt over a new connection.
+    /// Resumes the stream of an attempt at offset `from` over a new connection.
     pub(super) fn reattach(&mut self, attempt: Attempt, from: Offset) {
         let now = self.router.timer.now();
         self.attempts.suspect(attempt, now);
-        // An engine that is paused accepts nothing; how long it may be is the profile's to say.
+        // A paused engine does not accept the connection; `confirm_ms` of the profile bounds the
+        // wait.
         let timeout = Millis(self.job.profile.resume.confirm_ms).duration();
         if let Some((connection, name)) = self.attempts.connect(attempt, timeout) {
             tokio::spawn(connection.resume(name, from));
@@ -291,7 +295,7 @@
         Millis(self.job.profile.resume.open_ms).duration()
     }
 
-    /// The engine's share of the request, after the tokens so far.
+    /// Builds the request to the engine, which continues after the tokens generated so far.
     fn engine_request(&self, stream: StreamName) -> Generate {
         let tokens = self.generation.tokens();
         let done = u32::try_from(tokens.len()).unwrap_or(u32::MAX);
@@ -310,7 +314,8 @@
         }
     }
 
-    /// Names the stream in the journal, so that a takeover can resume it.
+    /// Writes the stream of an attempt to the header of the journal, so that a takeover can resume
+    /// it.
     pub(super) fn make_current(&mut self, attempt: Attempt) {
         self.header.stream = self.attempts.stream_ref(attempt);
         self.write_header();
--- a/crates/gooseberry-router/src/drive/journalling.rs
+++ b/crates/gooseberry-router/src/drive/journalling.rs
@@ -1,4 +1,4 @@
-//! The journal of one generation, here and at its witness.
+//! Journalling of one generation: appends to this host's own journal and to that of the witness.
 
 use base::prelude::*;
 use generation::Event;
@@ -9,7 +9,7 @@
 use crate::links::{AppendAck, QueuedAppend, ReplyTo};
 
 impl Driver {
-    /// Writes the tokens before `length` to the journals.
+    /// Appends the tokens before `length` to the journals.
     pub(super) fn journal(&mut self, length: Offset, finished: bool) {
         if !self.append_local() {
             return;
@@ -20,7 +20,7 @@
         self.perform_replica(actions);
     }
 
-    /// Writes the header to the journals.
+    /// Appends a changed header to the journals.
     pub(super) fn write_header(&mut self) {
         if !self.append_local() {
             return;
@@ -31,7 +31,7 @@
         self.perform_replica(actions);
     }
 
-    /// Confirms that no other router owns the request.
+    /// Verifies, by an append to the witness, that no other router has taken the request over.
     pub(super) fn verify(&mut self) {
         if !self.append_local() {
             return;
@@ -47,7 +47,7 @@
         self.perform_replica(actions);
     }
 
-    /// Takes in the answer of a witness.
+    /// Processes the answer of a witness to an append, or the lack of one.
     pub(super) fn on_ack(&mut self, ack: AppendAck) {
         let now = self.router.timer.now();
         let is_expected = self.replica.is_pending(ack.call);
@@ -82,12 +82,13 @@
         }
     }
 
-    /// Sends tokens to a witness.
+    /// Sends an append with the tokens from `from` on to a witness; reported as failed if the host
+    /// is not listed.
     fn send(&mut self, host: &HostId, from: Offset, with_header: bool, call: u64) {
         let sender = self.ack_sender.clone();
         let Some(addr) = self.router.address(host) else {
             let unanswered = AppendAck { call, answer: None };
-            // The receiving end is part of this driver.
+            // Cannot fail: the receiver belongs to this driver.
             let _ = sender.send(unanswered);
             return;
         };
@@ -99,7 +100,8 @@
             .append(QueuedAppend { append, reply });
     }
 
-    /// Writes what is new to this host's own journal; returns whether the request is still owned.
+    /// Appends new tokens and the header to this host's own journal; `false` if another router has
+    /// taken the request over.
     pub(super) fn append_local(&mut self) -> bool {
         let now = self.router.timer.now();
         self.last_append = now;
@@ -110,13 +112,13 @@
                 self.dispatch(Event::Superseded);
                 return false;
             }
-            // Without room here the witness alone keeps the journal.
+            // If there is no room here, only the witness keeps the journal.
             Err(_) => {}
         }
         true
     }
 
-    /// The tokens from `from` on, as an append.
+    /// Builds an append with the tokens from `from` on.
     fn append_from(&self, from: Offset, with_header: bool) -> Append {
         let tokens = self.generation.tokens();
         let from = Offset(from.0.min(tokens.len() as u64));
@@ -130,7 +132,8 @@
         }
     }
 
-    /// Tells all who hold the journal that the caller has the whole answer.
+    /// Closes the journal, here and at the witness: the caller has the complete output, so that no
+    /// takeover needs it.
     pub(super) fn close_journal(&self) {
         let now = self.router.timer.now();
         self.router.journals.close(now, &self.job.key, self.epoch);
@@ -141,11 +144,11 @@
         let peer = self.router.links.peer(addr);
         let (key, epoch) = (self.job.key.clone(), self.epoch);
         tokio::spawn(async move {
-            // Without this call the witness drops the journal after a while.
+            // If the call fails, the journal at the witness expires later.
             let _ = peer.link.close(&key, epoch, CLOSE_TIMEOUT).await;
         });
     }
 }
 
-/// The longest wait for a witness to take note of the end.
+/// Time limit of the call that closes the journal at the witness.
 const CLOSE_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(1_000);
--- a/crates/gooseberry-router/src/journals.rs
+++ b/crates/gooseberry-router/src/journals.rs
@@ -1,4 +1,4 @@
-//! The journals of this host, shared by its threads.
+//! Journals of this host, in shards to reduce lock contention between threads.
 
 use std::sync::Mutex;
 
@@ -7,17 +7,17 @@
 use journal::record::{Append, Refusal, Snapshot};
 use journal::store::{JournalCopy, Limits, Orphan, Store, Summary};
 
-/// The number of shards, each behind a lock of its own.
+/// Number of shards, each with its own lock.
 const SHARDS: usize = 16;
 
-/// Journals in shards by their key.
+/// Journal stores, sharded by the hash of the request key.
 #[derive(Debug)]
 pub struct Journals {
     shards: Vec<Mutex<Store>>,
 }
 
 impl Journals {
-    /// An empty shelf.
+    /// Creates empty stores that divide the limits of the host among them.
     pub fn new(limits: &Limits) -> Self {
         let shard = Limits {
             bytes: limits.bytes / SHARDS,
@@ -32,7 +32,7 @@
     ///
     /// # Errors
     ///
-    /// As there.
+    /// Those of [`Store::append`].
     pub fn append(&self, now: Millis, append: Append) -> Result<Offset, Refusal> {
         let shard = self.shard(&append.key);
         lock(shard).append(now, append)
@@ -42,13 +42,13 @@
     ///
     /// # Errors
     ///
-    /// As there.
+    /// Those of [`Store::append_remote`].
     pub fn append_remote(&self, now: Millis, append: Append) -> Result<Offset, Refusal> {
         let shard = self.shard(&append.key);
         lock(shard).append_remote(now, append)
     }
 
-    /// The requests of which journals are held.
+    /// The requests with a journal or a seal, in all shards.
     pub fn keys(&self) -> Vec<RequestKey> {
         let all = |p: &Mutex<Store>| lock(p).keys().cloned().collect::<Vec<_>>();
         self.shards.iter().flat_map(all).collect()
@@ -63,7 +63,7 @@
     ///
     /// # Errors
     ///
-    /// As there.
+    /// Those of [`Store::seal`].
     pub fn seal(
         &self,
         now: Millis,
@@ -99,7 +99,7 @@
         }
     }
 
-    /// The number of journals and the bytes of their tokens.
+    /// Number of journals, and total size of their tokens in bytes.
     pub fn size(&self) -> (usize, usize) {
         self.shards.iter().fold((0, 0), |(count, bytes), shard| {
             let shard = lock(shard);
@@ -107,7 +107,7 @@
         })
     }
 
-    /// The journals, for a state dump.
+    /// Summaries of all journals, for state dumps.
     pub fn summaries(&self) -> Vec<Summary> {
         let all = |p: &Mutex<Store>| lock(p).summaries().collect::<Vec<_>>();
         self.shards.iter().flat_map(all).collect()
--- a/crates/gooseberry-router/src/links.rs
+++ b/crates/gooseberry-router/src/links.rs
@@ -1,4 +1,4 @@
-//! Connections to the routers of other hosts; appends of many streams travel together.
+//! Connections to the routers of other hosts; appends of many requests are sent in batches.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -10,44 +10,44 @@
 use peer::link::RouterLink;
 use tokio::sync::mpsc;
 
-/// The longest wait for a witness.
+/// Time limit for a witness to answer a batch of appends.
 const APPEND_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// The most appends in one message.
+/// Maximum number of appends in one message.
 const MAX_BATCH: usize = 256;
 
-/// What came of an append; `None` if the peer gave no answer.
+/// Result of an append; `None` if the peer did not answer in time.
 pub type AppendResult = Option<Result<Offset, Refusal>>;
 
-/// An append and where its answer goes.
+/// An append in the queue to a peer.
 pub struct QueuedAppend {
-    /// The append.
+    /// The append to send.
     pub append: Append,
-    /// Where its answer goes.
+    /// Recipient of the answer.
     pub reply: ReplyTo,
 }
 
-/// Where the answer of one append goes.
+/// Recipient of the answer to one append.
 #[derive(Debug)]
 pub struct ReplyTo {
-    /// The number of the append at its owner.
+    /// Number of the append, as given by its owner.
     pub call: u64,
-    /// The owner's task.
+    /// Channel to the driver task of the owner.
     pub sender: mpsc::UnboundedSender<AppendAck>,
 }
 
-/// The answer of an append, as its owner's task receives it.
+/// Answer to an append, as received by the driver task of its owner.
 #[derive(Clone, Copy, Debug)]
 pub struct AppendAck {
-    /// The number of the append.
+    /// Number of the append, as given by its owner.
     pub call: u64,
-    /// The answer.
+    /// Length of the journal, or why the append was refused.
     pub answer: AppendResult,
 }
 
-/// A router of another host.
+/// The router of another host.
 pub struct Peer {
-    /// For single calls.
+    /// Link for single calls; batches of appends have their own.
     pub link: Arc<RouterLink>,
     queue: mpsc::UnboundedSender<QueuedAppend>,
 }
@@ -60,28 +60,28 @@
         Self { link, queue }
     }
 
-    /// Sends an append along with others.
+    /// Queues an append for the next batch.
     pub fn append(&self, item: QueuedAppend) {
-        // The task at the other end lives as long as this sender.
+        // Cannot fail: the receiving task ends only when this sender is dropped.
         let _ = self.queue.send(item);
     }
 }
 
-/// All peers that were ever called, by address.
+/// All peers that this process has called, by address; none is ever removed.
 #[derive(Default)]
 pub struct Links {
     peers: Mutex<Sorted<SocketAddr, Arc<Peer>>>,
 }
 
 impl Links {
-    /// The peer at `addr`.
+    /// The peer at `addr`, created on first use.
     pub fn peer(&self, addr: SocketAddr) -> Arc<Peer> {
         let mut peers = self.peers.lock().unwrap_or_else(|e| e.into_inner());
         peers.entry(addr, || Arc::new(Peer::new(addr))).clone()
     }
 }
 
-/// Sends what has gathered while the message before was on its way.
+/// Sends queued appends in batches, one batch at a time: each has what was queued during the last.
 async fn send_batches(link: Arc<RouterLink>, mut items: mpsc::UnboundedReceiver<QueuedAppend>) {
     let mut batch = Vec::new();
     while items.recv_many(&mut batch, MAX_BATCH).await > 0 {
@@ -93,7 +93,7 @@
             Err(_) => vec![None; replies.len()],
         };
         for (reply, answer) in replies.into_iter().zip(answers) {
-            // An owner that has ended needs no answer.
+            // Fails if the driver has ended, which needs no answer.
             let _ = reply.sender.send(AppendAck {
                 call: reply.call,
                 answer,
--- a/crates/gooseberry-router/src/output.rs
+++ b/crates/gooseberry-router/src/output.rs
@@ -1,4 +1,4 @@
-//! What is written to a caller: server-sent events, or one whole body.
+//! Responses to callers: server-sent events, or a single JSON body.
 
 use base::prelude::*;
 use bytes::Bytes;
@@ -9,36 +9,36 @@
 
 use crate::errors::CallerError;
 
-/// One thing to write.
+/// One item of output, from the driver to the writer of the response.
 #[derive(Clone, Debug)]
 pub enum Output {
-    /// Tokens from an offset on.
+    /// Consecutive tokens.
     Tokens {
-        /// The generation.
+        /// Generation of the tokens.
         generation: GenerationId,
-        /// The offset of the first.
+        /// Offset of the first token.
         from: Offset,
-        /// The tokens.
+        /// The tokens, in the order of their offsets.
         tokens: Vec<Token>,
     },
-    /// A sign that the request goes on.
+    /// Written while there are no tokens, so that the connection is not taken for idle.
     KeepAlive,
-    /// What was written before belongs to a generation that cannot be continued.
+    /// A new generation starts; the caller must discard the output so far.
     Restart(GenerationId),
-    /// The output is whole.
+    /// The output is complete.
     Done {
-        /// The generation.
+        /// Generation of the last token.
         generation: GenerationId,
-        /// The number of tokens.
+        /// Total number of tokens.
         length: Offset,
-        /// Why it ended.
+        /// Why the output ended.
         end: FinishReason,
     },
-    /// The output ends here without being whole.
+    /// The output ends before it is complete.
     Failed(CallerError),
 }
 
-/// Writes output as server-sent events until it ends or the caller is gone.
+/// Writes output as server-sent events until it ends or the caller disconnects.
 pub async fn write_events(mut output: mpsc::Receiver<Output>, model: String, mut body: BodySender) {
     while let Some(item) = output.recv().await {
         let (piece, is_last) = event(&item, &model);
@@ -49,11 +49,12 @@
             return;
         }
     }
-    // The driver ended without a last event; the caller must not take this for the end.
+    // The driver ended without a final item: abort the body, so that the caller does not take the
+    // output for complete.
     body.abort(StreamCut);
 }
 
-/// Collects the whole output into one response.
+/// Collects the output into one response; `None` if the driver ends without a final item.
 pub async fn collect(mut output: mpsc::Receiver<Output>, model: &str) -> Option<Response> {
     let mut text = String::new();
     while let Some(item) = output.recv().await {
@@ -76,7 +77,7 @@
     None
 }
 
-/// One event, and whether it is the last.
+/// One server-sent event, and whether it is the last.
 fn event(item: &Output, model: &str) -> (String, bool) {
     match item {
         Output::Tokens {
@@ -93,7 +94,7 @@
         Output::Restart(generation) => {
             let data = json!({
                 "generation": generation,
-                "message": "the output so far cannot be continued; drop it, a new one follows",
+                "message": "the output so far cannot be continued; discard it, a new one follows",
             });
             let id = format!("{generation}:0");
             (format!("id: {id}\nevent: restart\ndata: {data}\n\n"), false)
@@ -114,7 +115,7 @@
     }
 }
 
-/// A piece of output in the usual shape of completions.
+/// A completion object (`text_completion`) with a piece of the output.
 fn chunk(generation: GenerationId, model: &str, text: &str, end: Option<FinishReason>) -> Value {
     json!({
         "id": generation,
--- a/crates/gooseberry-router/src/registry.rs
+++ b/crates/gooseberry-router/src/registry.rs
@@ -1,4 +1,4 @@
-//! The requests in flight, for state dumps and a planned stop.
+//! Registry of the requests in flight, for state dumps and draining.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -14,7 +14,7 @@
     state: Value,
 }
 
-/// The last known state of each request in flight.
+/// The last reported state of each request in flight.
 #[derive(Debug, Default)]
 pub struct Registry {
     entries: Mutex<Sorted<u64, Entry>>,
@@ -22,7 +22,7 @@
 }
 
 impl Registry {
-    /// Enters a request and returns its number.
+    /// Adds a request and returns its number, unique within this process.
     pub fn insert(&self, key: &RequestKey) -> u64 {
         let number = self.last.fetch_add(1, Ordering::Relaxed);
         let entry = Entry {
@@ -33,36 +33,36 @@
         number
     }
 
-    /// Notes the state of a request, if a dump was asked for lately or none was noted yet.
+    /// Sets the state of a request; ignored if it was removed.
     pub fn update(&self, number: u64, state: impl FnOnce() -> Value) {
         if let Some(entry) = self.lock().get_mut(&number) {
             entry.state = state();
         }
     }
 
-    /// Takes a request out.
+    /// Removes a request that has ended.
     pub fn remove(&self, number: u64) {
         self.lock().remove(&number);
     }
 
-    /// The requests in flight, sorted.
+    /// Keys of the requests in flight, sorted.
     pub fn keys(&self) -> Vec<RequestKey> {
         let mut keys: Vec<RequestKey> = self.lock().iter().map(|(_, e)| e.key.clone()).collect();
         keys.sort();
         keys
     }
 
-    /// How many requests are in flight.
+    /// Number of requests in flight.
     pub fn len(&self) -> usize {
         self.lock().len()
     }
 
-    /// Whether none is.
+    /// Whether no request is in flight.
     pub fn is_empty(&self) -> bool {
         self.lock().is_empty()
     }
 
-    /// All requests, for a state dump.
+    /// Key and state of all requests, for state dumps.
     pub fn dump(&self) -> Vec<Value> {
         self.lock()
             .iter()
--- a/crates/gooseberry-router/src/stream.rs
+++ b/crates/gooseberry-router/src/stream.rs
@@ -1,4 +1,5 @@
-//! The connections of one generation to engines.
+//! Connections from a generation to engines: each reads the frames of one stream and sends them to
+//! the driver as updates.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,7 +13,7 @@
 use tokio::time::sleep;
 use tokio_util::sync::CancellationToken;
 
-/// The waits between tries to end a stream on its engine.
+/// Waits after failed attempts to cancel a stream on its engine.
 const CANCEL_BACKOFF: [Duration; 5] = [
     Duration::from_secs(1),
     Duration::from_secs(3),
@@ -21,45 +22,45 @@
     Duration::from_secs(30),
 ];
 
-/// The time limit of one try to end a stream.
+/// Time limit of one attempt to cancel a stream.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// An update of a connection.
+/// An update from a connection to the driver.
 #[derive(Clone, Debug)]
 pub struct StreamUpdate {
-    /// The attempt.
+    /// Attempt whose stream it concerns.
     pub attempt: Attempt,
-    /// Which of the attempt's connections it came over.
+    /// Number of the connection that sent it.
     pub connection: u64,
-    /// What happened.
+    /// Event for the state machine of the generation.
     pub event: Event,
-    /// The life of the engine, with [`Event::Opened`].
+    /// Incarnation of the engine; only with [`Event::Opened`].
     pub incarnation: Option<Incarnation>,
-    /// Why the output ended, with [`Event::Ended`].
+    /// Why the output ended; only with [`Event::Ended`].
     pub end: Option<FinishReason>,
 }
 
 /// One connection to an engine.
 #[derive(Clone, Debug)]
 pub struct Connection {
-    /// The engine.
+    /// Address of the engine.
     pub addr: SocketAddr,
-    /// The attempt.
+    /// Attempt whose stream it reads.
     pub attempt: Attempt,
-    /// The number of the connection within the generation.
+    /// Number of the connection, unique within the generation.
     pub number: u64,
-    /// The life of the engine that is expected, if any.
+    /// Incarnation of the engine that runs the stream; `None` if it is not known yet.
     pub incarnation: Option<Incarnation>,
-    /// The longest wait for the engine's acceptance.
+    /// Time limit for the engine to accept the request.
     pub timeout: Duration,
-    /// Where news goes.
+    /// Channel to the driver.
     pub updates: mpsc::Sender<StreamUpdate>,
-    /// Cancelled when the connection is no longer wanted.
+    /// Cancelled by the driver to close the connection.
     pub stop: CancellationToken,
 }
 
 impl Connection {
-    /// Starts a stream and reads it.
+    /// Starts a stream on the engine and reads it to its end.
     pub async fn generate(self, body: Generate) {
         let opening = engine::client::generate(self.addr, &body, self.timeout);
         let opened = tokio::select! {
@@ -69,7 +70,7 @@
         self.read(opened).await;
     }
 
-    /// Reads a stream that runs already.
+    /// Reads a stream that already exists on the engine, from offset `from` to its end.
     pub async fn resume(self, name: StreamName, from: Offset) {
         let opening = engine::client::resume(self.addr, &name, from, self.timeout);
         let opened = tokio::select! {
@@ -79,7 +80,7 @@
         self.read(opened).await;
     }
 
-    /// Reads a stream to its end.
+    /// Reads the frames of a stream until it ends or fails, or the connection is closed.
     async fn read(self, opened: Result<Frames, EngineError>) {
         let mut frames = match opened {
             Ok(frames) => frames,
@@ -100,7 +101,7 @@
         }
     }
 
-    /// An update of one frame, and whether it is the last.
+    /// The update for one frame, and whether it is the last.
     fn translate(&self, frame: Result<Option<Frame>, EngineError>) -> (StreamUpdate, bool) {
         let attempt = self.attempt;
         let broken = |cause| Event::Broken { attempt, cause };
@@ -140,7 +141,7 @@
         }
     }
 
-    /// An update of a stream that could not be opened.
+    /// The update for a stream that could not be opened.
     fn open_failed(&self, error: &EngineError) -> StreamUpdate {
         let cause = match error {
             EngineError::Refused { kind, .. } => match kind {
@@ -165,7 +166,7 @@
         }
     }
 
-    /// Sends news; returns whether anybody listens.
+    /// Sends an update; `false` if the connection is closed or the driver has ended.
     async fn send(&self, update: StreamUpdate) -> bool {
         tokio::select! {
             () = self.stop.cancelled() => false,
@@ -174,7 +175,8 @@
     }
 }
 
-/// Ends a stream on its engine, trying again for a while if the engine is away.
+/// Cancels a stream on its engine; retries with backoff while that fails, and logs a warning after
+/// the last attempt.
 pub async fn cancel(addr: SocketAddr, name: StreamName) {
     for wait in CANCEL_BACKOFF {
         let is_absent = match engine::client::cancel(addr, &name, CANCEL_TIMEOUT).await {
@@ -187,5 +189,8 @@
         }
         sleep(wait).await;
     }
-    log::warn!("engine stream not cancelled addr={addr} stream={}", name.0);
+    log::warn!(
+        "failed to cancel an engine stream; no retries left addr={addr} stream={}",
+        name.0
+    );
 }
