--- a/crates/gooseberry-router/src/backends.rs
+++ b/crates/gooseberry-router/src/backends.rs
@@ -223,7 +223,7 @@
     pub blocks: &'a [u64],
     /// Servers that are chosen only if there is no other.
     pub avoid: &'a [BackendId],
-    /// Whether it continues output generated on another server.
+    /// Whether it continues output that was generated before.
     pub is_resume: bool,
 }
 
@@ -273,21 +273,21 @@
 /// Restricts the choice to the servers that cache the longest prefix of the prompt, if one with a
 /// free slot caches any of it.
 fn retain_cached(servers: &mut [Server<'_>], avoid: &[BackendId]) {
-    let has_room = |s: &Server<'_>| {
+    let has_free_slot = |s: &Server<'_>| {
         let load = s.in_flight.max(s.reported_load);
         let is_avoided = avoid.iter().any(|b| b.as_str() == s.backend);
         s.is_usable && !is_avoided && (s.slots == 0 || load < s.slots)
     };
     let best = servers
         .iter()
-        .filter(|s| has_room(s))
+        .filter(|s| has_free_slot(s))
         .map(|s| s.cached_blocks);
     let best = best.max().unwrap_or(0);
     if best == 0 {
         return;
     }
     for server in servers {
-        server.is_usable = has_room(server) && server.cached_blocks == best;
+        server.is_usable = has_free_slot(server) && server.cached_blocks == best;
     }
 }
 
--- a/crates/gooseberry-router/src/drive.rs
+++ b/crates/gooseberry-router/src/drive.rs
@@ -75,16 +75,21 @@
     attempts: Attempts,
     ack_sender: mpsc::UnboundedSender<AppendAck>,
     ack_receiver: mpsc::UnboundedReceiver<AppendAck>,
+    /// Why the output ended, as reported by the engine or a sealed journal; `None` until then.
     end: Option<FinishReason>,
     /// Number of tokens in this host's own journal.
     local_length: Offset,
+    /// When this host's own journal was last appended to.
     last_append: Millis,
     /// When the state for dumps was last updated.
     last_record: Option<Millis>,
+    /// Whether an append to the witness that verifies the ownership is awaited.
     is_verifying: bool,
+    /// Output that the writer has not accepted yet.
     queue: VecDeque<Output>,
     /// Number of tokens in the queue.
     queued: usize,
+    /// Whether updates from the engines are received; paused while the caller is slow.
     is_reading: bool,
     is_disconnected: bool,
     /// Number of the request in the registry.
@@ -296,18 +301,18 @@
     fn restart(&mut self) {
         let now = self.router.timer.now();
         self.epoch = self.epoch.succeed(self.router.incarnation);
-        let link = Segment {
+        let segment = Segment {
             generation: GenerationId(rand::random()),
             start: Offset(0),
         };
-        self.header.lineage = vec![link];
+        self.header.lineage = vec![segment];
         self.header.stream = None;
         self.local_length = Offset(0);
         self.end = None;
         let witnesses = self.router.witnesses(&self.job.key);
         self.replica = Replicator::new(now, self.job.profile.witness, witnesses);
         (self.ack_sender, self.ack_receiver) = mpsc::unbounded_channel();
-        self.push(Output::Restart(link.generation));
+        self.push(Output::Restart(segment.generation));
     }
 
     fn on_recovered(&mut self, silence_ms: u64, same_stream: bool) {
--- a/crates/gooseberry-router/src/takeover.rs
+++ b/crates/gooseberry-router/src/takeover.rs
@@ -53,7 +53,7 @@
 
 /// Ownership of a request without previous output: a new generation under `epoch`.
 pub fn new_generation(epoch: Epoch, digest: u64) -> Ownership {
-    let link = Segment {
+    let segment = Segment {
         generation: GenerationId(rand::random()),
         start: Offset(0),
     };
@@ -61,7 +61,7 @@
         epoch,
         header: Header {
             digest,
-            lineage: vec![link],
+            lineage: vec![segment],
             ..Header::default()
         },
         tokens: Vec::new(),
@@ -84,12 +84,12 @@
     digest: u64,
     position: Option<Position>,
 ) -> Result<Ownership, CallerError> {
-    let mut round = router.journals.fence(key).unwrap_or_default();
+    let mut highest = router.journals.fence(key).unwrap_or_default();
     for _ in 0..MAX_ROUNDS {
-        let epoch = round.succeed(router.incarnation);
+        let epoch = highest.succeed(router.incarnation);
         let results = seal_all(router, key, epoch, digest, position).await?;
         match results.higher {
-            Some(higher) => round = round.max(higher),
+            Some(higher) => highest = highest.max(higher),
             None => return Ok(continue_latest(results, epoch, digest, position)),
         }
     }
