--- a/crates/gooseberry-router/src/admit.rs
+++ b/crates/gooseberry-router/src/admit.rs
@@ -1,4 +1,7 @@
-//! Admission of requests: asks the gate, waits for its answer and frees the place at the end.
+//! Admission of requests by the controller of the `admission` crate.
+//!
+//! A request waits until the controller starts or refuses it; its permit releases the capacity when
+//! the request ends.
 
 mod bounds;
 
@@ -15,19 +18,19 @@
 use crate::context::Router;
 use crate::errors::{CallerError, Kind};
 
-/// The time between looks at what waits.
-const TICK: Millis = Millis(20);
+/// Interval of the ticks that refuse expired requests and start waiting ones.
+const TICK_INTERVAL: Millis = Millis(20);
 
-/// The greatest random addition to the time after which a caller is to come back.
-const SPREAD: Millis = Millis(1_000);
+/// Upper bound of the random jitter added to `Retry-After`.
+const RETRY_JITTER: Millis = Millis(1_000);
 
-/// What the gate decided.
-type Verdict = Result<(), (Reason, Millis)>;
+/// Decision on a request: started, or refused with the reason and the time after which to retry.
+type Decision = Result<(), (Reason, Millis)>;
 
-/// The gate of a router and the requests that wait at it.
+/// Admission controller of a router, with the requests that wait for it.
 ///
-/// The lock is held for one decision, once when a request arrives and once when it ends; nothing
-/// on the path of a token takes it.
+/// The lock is held for one decision, once when a request arrives and once when it ends; it is not
+/// taken per token.
 #[derive(Debug, Default)]
 pub struct Admission {
     inner: Mutex<Inner>,
@@ -36,27 +39,27 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    gate: Controller,
-    waiting: Sorted<u64, oneshot::Sender<Verdict>>,
+    controller: Controller,
+    waiting: Sorted<u64, oneshot::Sender<Decision>>,
     budgets: Sorted<ProfileName, RetryBudget>,
 }
 
-/// A request that asks to be run.
+/// A request for admission.
 #[derive(Clone, Copy, Debug)]
-pub struct Entry<'a> {
-    /// The profile.
+pub struct AdmissionRequest<'a> {
+    /// Profile under whose limits the request runs.
     pub profile: &'a Profile,
-    /// The workspace.
+    /// Workspace to whose share it is accounted.
     pub workspace: &'a Workspace,
-    /// The work that it asks for, as the most tokens of its output.
+    /// Cost in fair queueing: the maximum number of tokens of its output.
     pub cost: u64,
-    /// When its first output must be there.
+    /// Time by which the caller must have the first output.
     pub deadline: Millis,
-    /// Whether it goes on with work that was admitted before and must not wait.
+    /// Whether it continues work that was admitted before, and so starts without waiting.
     pub is_admitted: bool,
 }
 
-/// A place in the gate; dropping it frees the place.
+/// Capacity held by an admitted request; released on drop.
 pub struct Permit {
     router: Arc<Router>,
     profile: ProfileName,
@@ -64,17 +67,17 @@
     started: Millis,
 }
 
-/// A request at the gate; dropped without an answer, it is forgotten.
-struct Ticket<'a> {
+/// Cancels a waiting request on drop, if it was neither started nor refused.
+struct WaitGuard<'a> {
     router: &'a Router,
     number: u64,
 }
 
-impl Drop for Ticket<'_> {
+impl Drop for WaitGuard<'_> {
     fn drop(&mut self) {
         let mut inner = self.router.admission.lock();
         if inner.waiting.remove(&self.number).is_some() {
-            inner.gate.cancel(self.number);
+            inner.controller.cancel(self.number);
         }
     }
 }
@@ -86,99 +89,108 @@
         let mut out = Vec::new();
         let mut inner = self.router.admission.lock();
         inner
-            .gate
+            .controller
             .release(now, &self.profile, &self.workspace, held, &mut out);
         inner.answer(out);
     }
 }
 
-/// Waits until a request may run.
+/// Waits until a request may start.
 ///
 /// # Errors
 ///
-/// `Overloaded` if it was not run and will not be; it says when to come back.
-pub async fn admit(router: &Arc<Router>, entry: &Entry<'_>) -> Result<Permit, CallerError> {
+/// `Overloaded` if the request is refused; it was not run, and `Retry-After` is set.
+pub async fn admit(
+    router: &Arc<Router>,
+    request: &AdmissionRequest<'_>,
+) -> Result<Permit, CallerError> {
     let number = router.admission.last.fetch_add(1, Ordering::Relaxed);
-    let (sender, verdict) = oneshot::channel();
-    let _ticket = Ticket { router, number };
-    router.admission.ask(router, number, entry, sender);
+    let (sender, decision) = oneshot::channel();
+    let _guard = WaitGuard { router, number };
+    router.admission.enqueue(router, number, request, sender);
     let permit = || Permit {
         router: router.clone(),
-        profile: entry.profile.name.clone(),
-        workspace: entry.workspace.name.clone(),
+        profile: request.profile.name.clone(),
+        workspace: request.workspace.name.clone(),
         started: router.timer.now(),
     };
-    match verdict.await {
+    match decision.await {
         Ok(Ok(())) => Ok(permit()),
         Ok(Err((reason, after))) => Err(overloaded(reason, after)),
-        // The gate answers each request before it forgets it.
-        Err(_) => Err(overloaded(Reason::Expired, SPREAD)),
+        // Not expected: each request is started or refused before its sender is dropped.
+        Err(_) => Err(overloaded(Reason::Expired, RETRY_JITTER)),
     }
 }
 
-/// Looks for ever at what waits, so that nothing waits beyond its deadline.
-pub async fn watch(router: Arc<Router>) {
-    let mut ticks = router.timer.every(TICK);
+/// Ticks the controller for ever while requests wait, so that none waits beyond its deadline.
+pub async fn tick_forever(router: Arc<Router>) {
+    let mut ticks = router.timer.every(TICK_INTERVAL);
     loop {
         let now = ticks.next().await;
-        if !router.admission.lock().gate.has_waiting() {
+        if !router.admission.lock().controller.has_waiting() {
             continue;
         }
         let snapshot = router.snapshot();
         let mut out = Vec::new();
         let mut inner = router.admission.lock();
         for profile in &snapshot.document.profiles {
-            let bounds = bounds::class(&router, &snapshot, profile);
-            inner.gate.set_profile(&profile.name, bounds);
+            let bounds = bounds::profile_bounds(&router, &snapshot, profile);
+            inner.controller.set_profile(&profile.name, bounds);
         }
-        inner.gate.tick(now, &mut out);
+        inner.controller.tick(now, &mut out);
         inner.answer(out);
     }
 }
 
 impl Admission {
-    /// Takes one retry out of the budget of a profile, if there is one.
-    pub fn retry(&self, profile: &ProfileName) -> bool {
+    /// Spends one retry of the budget of a profile; `false` if the budget is exhausted.
+    pub fn spend_retry(&self, profile: &ProfileName) -> bool {
         let mut inner = self.lock();
         let budget = inner.budgets.entry(profile.clone(), RetryBudget::default);
         budget.spend()
     }
 
-    /// The gate, for a state dump.
+    /// State of the controller, for state dumps.
     pub fn dump(&self) -> Value {
         let inner = self.lock();
-        let classes = inner.gate.profiles();
+        let classes = inner.controller.profiles();
         json!({ "classes": classes, "waiting": inner.waiting.len() })
     }
 
-    fn ask(
+    fn enqueue(
         &self,
         router: &Router,
         ticket: u64,
-        entry: &Entry<'_>,
-        sender: oneshot::Sender<Verdict>,
+        request: &AdmissionRequest<'_>,
+        sender: oneshot::Sender<Decision>,
     ) {
         let snapshot = router.snapshot();
-        let class = bounds::class(router, &snapshot, entry.profile);
-        let space = bounds::space(router, &snapshot, entry.workspace);
-        let ask = Request {
+        let profile_bounds = bounds::profile_bounds(router, &snapshot, request.profile);
+        let workspace_bounds = bounds::workspace_bounds(router, &snapshot, request.workspace);
+        let arrival = Request {
             ticket,
-            profile: &entry.profile.name,
-            workspace: &entry.workspace.name,
-            cost: entry.cost,
-            deadline: entry.deadline,
-            is_admitted: entry.is_admitted,
+            profile: &request.profile.name,
+            workspace: &request.workspace.name,
+            cost: request.cost,
+            deadline: request.deadline,
+            is_admitted: request.is_admitted,
         };
         let mut out = Vec::new();
         let mut inner = self.lock();
         let budget = inner
             .budgets
-            .entry(ask.profile.clone(), RetryBudget::default);
-        budget.earn(entry.profile.retry.percent);
+            .entry(arrival.profile.clone(), RetryBudget::default);
+        budget.earn(request.profile.retry.percent);
         inner.waiting.insert(ticket, sender);
-        inner.gate.set_profile(ask.profile, class);
-        inner.gate.set_workspace(ask.workspace, space);
-        inner.gate.arrive(router.timer.now(), &ask, &mut out);
+        inner
+            .controller
+            .set_profile(arrival.profile, profile_bounds);
+        inner
+            .controller
+            .set_workspace(arrival.workspace, workspace_bounds);
+        inner
+            .controller
+            .arrive(router.timer.now(), &arrival, &mut out);
         inner.answer(out);
     }
 
@@ -188,10 +200,10 @@
 }
 
 impl Inner {
-    /// Tells those who wait what was decided.
+    /// Sends the decisions to the waiting requests.
     fn answer(&mut self, actions: Vec<Action>) {
         for action in actions {
-            let (ticket, verdict) = match action {
+            let (ticket, decision) = match action {
                 Action::Start(ticket) => (ticket, Ok(())),
                 Action::Refuse {
                     ticket,
@@ -200,22 +212,23 @@
                 } => (ticket, Err((reason, after))),
             };
             if let Some(sender) = self.waiting.remove(&ticket) {
-                // A request waits until it is answered, or its ticket takes it out of the gate.
-                let _ = sender.send(verdict);
+                // Cannot fail: a request that is dropped while it waits is removed from `waiting`
+                // first.
+                let _ = sender.send(decision);
             }
         }
     }
 }
 
-/// The answer to a request that was not run.
+/// Error for a refused request, which was not run.
 fn overloaded(reason: Reason, after: Millis) -> CallerError {
-    let spread = Millis(rand::random_range(0..SPREAD.0));
-    let seconds = (after + spread).0.div_ceil(1_000);
-    let what = match reason {
-        Reason::QueueFull => "too many requests wait",
-        Reason::TooLate => "no start within the deadline can be had",
-        Reason::Expired => "no place was free before the deadline",
+    let jitter = Millis(rand::random_range(0..RETRY_JITTER.0));
+    let seconds = (after + jitter).0.div_ceil(1_000);
+    let cause = match reason {
+        Reason::QueueFull => "the queue of waiting requests is full",
+        Reason::TooLate => "the request cannot start within its deadline",
+        Reason::Expired => "no capacity became free before the deadline",
     };
-    let message = format!("{what}; repeat the request after {seconds} s");
+    let message = format!("{cause}; retry the request after {seconds} s");
     CallerError::not_run(Kind::Overloaded, message).retry_after(seconds)
 }
--- a/crates/gooseberry-router/src/completions.rs
+++ b/crates/gooseberry-router/src/completions.rs
@@ -1,4 +1,5 @@
-//! `POST /v1/completions`.
+//! Handler of `POST /v1/completions`: checks, ownership, admission, and the start of the
+//! generation.
 
 use std::sync::Arc;
 
@@ -12,26 +13,26 @@
 use web::reply::{self, BodyError};
 use web::{Response, StreamCut};
 
-use crate::admit::{Entry, Permit, admit};
+use crate::admit::{AdmissionRequest, Permit, admit};
 use crate::auth;
-use crate::caller::{self, Completion, KEY_HEADER, Reached};
+use crate::caller::{self, Completion, KEY_HEADER, Position};
 use crate::context::Router;
 use crate::drive::{Job, drive};
 use crate::errors::{CallerError, Kind, Ran};
 use crate::output::{collect, write_events};
-use crate::takeover::{self, Claimed};
+use crate::takeover::{self, Ownership};
 
-/// The outputs that wait for the writer.
-const OUTPUTS: usize = 4;
+/// Capacity of the channel from the driver to the writer of the response.
+const MAX_OUTPUTS: usize = 4;
 
-/// The header with the version of the configuration under which an answer was made.
+/// Response header with the version of the configuration in force when the request arrived.
 const VERSION_HEADER: &str = "gooseberry-version";
 
-/// Answers one request.
+/// Handles one request.
 ///
 /// # Errors
 ///
-/// Any [`CallerError`] of a request that did not start.
+/// A [`CallerError`] if the generation was not started.
 pub async fn handle(
     router: &Arc<Router>,
     request: Request<Incoming>,
@@ -46,51 +47,51 @@
     let completion = parse(&body)?;
     let (service, profile) = find(document, &completion)?;
     check_limits(&completion, body.len(), profile)?;
-    let place = Place::read(router, &parts.headers, workspace.name.as_str())?;
+    let identity = Identity::read(router, &parts.headers, workspace.name.as_str())?;
     let digest = digest(&completion);
-    let claimed = place.claim(router, digest).await?;
+    let ownership = identity.claim(router, digest).await?;
     let max_tokens = completion.max_tokens.min(profile.limits.tokens);
     let deadline = arrived + Millis(profile.deadline_ms);
-    let entry = Entry {
+    let admission = AdmissionRequest {
         profile,
         workspace,
         cost: max_tokens,
         deadline,
-        is_admitted: !claimed.tokens.is_empty() || claimed.header.stream.is_some(),
+        is_admitted: !ownership.tokens.is_empty() || ownership.header.stream.is_some(),
     };
-    let permit = admit(router, &entry).await?;
+    let permit = admit(router, &admission).await?;
     let job = Job {
-        key: place.key,
+        key: identity.key,
         service: service.name.clone(),
-        model: model(&claimed, service),
+        model: model(&ownership, service),
         profile: profile.clone(),
         prompt: Arc::from(completion.prompt.as_str()),
         max_tokens,
         deadline,
     };
-    let mut claimed = claimed;
-    claimed.header.model = job.model.clone();
-    let mut response = run(router, permit, job, claimed, &completion).await;
+    let mut ownership = ownership;
+    ownership.header.model = job.model.clone();
+    let mut response = run(router, permit, job, ownership, &completion).await;
     let headers = response.headers_mut();
-    if let Ok(value) = HeaderValue::from_str(&place.shown) {
+    if let Ok(value) = HeaderValue::from_str(&identity.shown) {
         headers.insert(KEY_HEADER, value);
     }
     headers.insert(VERSION_HEADER, HeaderValue::from(document.version.0));
     Ok(response)
 }
 
-/// Starts the generation and the writing of its output.
+/// Starts the generation, and streams or collects its output.
 async fn run(
     router: &Arc<Router>,
     permit: Permit,
     job: Job,
-    claimed: Claimed,
+    ownership: Ownership,
     completion: &Completion,
 ) -> Response {
-    let (sender, outputs) = mpsc::channel(OUTPUTS);
-    let driving = drive(router.clone(), job, claimed, sender);
+    let (sender, outputs) = mpsc::channel(MAX_OUTPUTS);
+    let driver = drive(router.clone(), job, ownership, sender);
     tokio::spawn(async move {
-        driving.await;
+        driver.await;
         drop(permit);
     });
     if completion.stream {
@@ -98,45 +99,46 @@
         tokio::spawn(write_events(outputs, completion.model.clone(), body));
         return response;
     }
-    let whole = collect(outputs, &completion.model).await;
-    whole.unwrap_or_else(|| interrupted().response())
+    let response = collect(outputs, &completion.model).await;
+    response.unwrap_or_else(|| interrupted().response())
 }
 
-/// The key of a request and the place that its caller has reached.
-struct Place {
-    /// The key, with its workspace.
+/// Key of a request, and the position that its caller has reached.
+struct Identity {
+    /// The key, prefixed with its workspace.
     key: RequestKey,
-    /// The key as the caller knows it.
+    /// The key as shown to the caller.
     shown: String,
+    /// Whether this router created the key, since the caller gave none.
     is_minted: bool,
-    reached: Option<Reached>,
+    position: Option<Position>,
 }
 
-impl Place {
+impl Identity {
     fn read(router: &Router, headers: &HeaderMap, workspace: &str) -> Result<Self, CallerError> {
         let given = caller::key(headers)?;
-        let reached = caller::reached(headers)?;
+        let position = caller::position(headers)?;
         let is_minted = given.is_none();
         let shown = given.unwrap_or_else(|| mint(router));
         Ok(Self {
             key: RequestKey(format!("{workspace}/{shown}")),
             shown,
             is_minted,
-            reached,
+            position,
         })
     }
 
-    /// Takes ownership of the request; a minted key cannot run elsewhere.
-    async fn claim(&self, router: &Arc<Router>, digest: u64) -> Result<Claimed, CallerError> {
+    /// Takes ownership of the request; no other router can own one whose key was minted here.
+    async fn claim(&self, router: &Arc<Router>, digest: u64) -> Result<Ownership, CallerError> {
         if self.is_minted {
             let epoch = Epoch::default().succeed(router.incarnation);
-            return Ok(takeover::fresh(epoch, digest));
+            return Ok(takeover::new_generation(epoch, digest));
         }
-        takeover::claim(router, &self.key, digest, self.reached).await
+        takeover::claim(router, &self.key, digest, self.position).await
     }
 }
 
-/// A key that no other request has.
+/// Creates a unique key.
 fn mint(router: &Router) -> String {
     format!(
         "{:016x}{:016x}",
@@ -145,7 +147,7 @@
     )
 }
 
-/// The largest body that any profile takes.
+/// Maximum body size of all profiles, in bytes.
 fn largest_body(document: &Document) -> usize {
     let limits = document.profiles.iter().map(|p| p.limits.body_bytes);
     limits.max().unwrap_or(0)
@@ -153,7 +155,9 @@
 
 fn parse(body: &[u8]) -> Result<Completion, CallerError> {
     serde_json::from_slice(body).map_err(|e| {
-        let message = format!("the body is not as expected: {e}; correct it and send it again");
+        let message = format!(
+            "the body is not a valid completion request: {e}; correct it and send it again"
+        );
         CallerError::not_run(Kind::Malformed, message)
     })
 }
@@ -192,15 +196,15 @@
     Ok(())
 }
 
-/// The model that began the output, or the default of the service.
-fn model(claimed: &Claimed, service: &Service) -> Model {
-    if claimed.tokens.is_empty() && claimed.header.stream.is_none() {
+/// The model that generated the output so far, or the first model of the service.
+fn model(ownership: &Ownership, service: &Service) -> Model {
+    if ownership.tokens.is_empty() && ownership.header.stream.is_none() {
         return service.models.first().cloned().unwrap_or_default();
     }
-    claimed.header.model.clone()
+    ownership.header.model.clone()
 }
 
-/// A digest of what makes two requests the same.
+/// Digest of the fields in which a retry must equal the first request.
 fn digest(completion: &Completion) -> u64 {
     let Completion {
         model,
@@ -211,7 +215,7 @@
     stable(format!("{model}\n{max_tokens}\n{prompt}").as_bytes())
 }
 
-/// The caller's error of a body that cannot be read.
+/// The error for a body that cannot be read.
 pub fn body_error(error: BodyError) -> CallerError {
     let kind = match error {
         BodyError::TooLarge { .. } => Kind::TooLarge,
@@ -220,7 +224,7 @@
     CallerError::not_run(kind, error.to_string())
 }
 
-/// The caller's error of an output that broke off.
+/// The error for an output that was interrupted.
 fn interrupted() -> CallerError {
     CallerError {
         kind: Kind::Lost,
--- a/crates/gooseberry-router/src/links.rs
+++ b/crates/gooseberry-router/src/links.rs
@@ -1,4 +1,4 @@
-//! Connections to the routers of other hosts; appends of many streams travel together.
+//! Connections to the routers of other hosts; appends of many requests are sent in batches.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -10,46 +10,46 @@
 use peer::link::RouterLink;
 use tokio::sync::mpsc;
 
-/// The longest wait for a witness.
-const LIMIT: Duration = Duration::from_millis(1_000);
+/// Time limit for a witness to answer a batch of appends.
+const APPEND_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// The most appends in one message.
+/// Maximum number of appends in one message.
 const MAX_BATCH: usize = 256;
 
-/// What came of an append; `None` if the peer gave no answer.
-pub type Answer = Option<Result<Offset, Refusal>>;
+/// Result of an append; `None` if the peer did not answer in time.
+pub type AppendResult = Option<Result<Offset, Refusal>>;
 
-/// An append and where its answer goes.
-pub struct Item {
-    /// The append.
+/// An append in the queue to a peer.
+pub struct QueuedAppend {
+    /// The append to send.
     pub append: Append,
-    /// Where its answer goes.
-    pub done: Done,
+    /// Recipient of the answer.
+    pub reply: ReplyTo,
 }
 
-/// Where the answer of one append goes.
+/// Recipient of the answer to one append.
 #[derive(Debug)]
-pub struct Done {
-    /// The number of the append at its owner.
+pub struct ReplyTo {
+    /// Number of the append, as given by its owner.
     pub call: u64,
-    /// The owner's task.
-    pub to: mpsc::UnboundedSender<Acked>,
+    /// Channel to the driver task of the owner.
+    pub sender: mpsc::UnboundedSender<AppendAck>,
 }
 
-/// The answer of an append, as its owner's task receives it.
+/// Answer to an append, as received by the driver task of its owner.
 #[derive(Clone, Copy, Debug)]
-pub struct Acked {
-    /// The number of the append.
+pub struct AppendAck {
+    /// Number of the append, as given by its owner.
     pub call: u64,
-    /// The answer.
-    pub answer: Answer,
+    /// Length of the journal, or why the append was refused.
+    pub answer: AppendResult,
 }
 
-/// A router of another host.
+/// The router of another host.
 pub struct Peer {
-    /// For single calls.
+    /// Link for single calls; batches of appends have their own.
     pub link: Arc<RouterLink>,
-    queue: mpsc::UnboundedSender<Item>,
+    queue: mpsc::UnboundedSender<QueuedAppend>,
 }
 
 impl Peer {
@@ -60,42 +60,42 @@
         Self { link, queue }
     }
 
-    /// Sends an append along with others.
-    pub fn append(&self, item: Item) {
-        // The task at the other end lives as long as this sender.
+    /// Queues an append for the next batch.
+    pub fn append(&self, item: QueuedAppend) {
+        // Cannot fail: the receiving task ends only when this sender is dropped.
         let _ = self.queue.send(item);
     }
 }
 
-/// All peers that were ever called, by address.
+/// All peers that this process has called, by address; none is ever removed.
 #[derive(Default)]
 pub struct Links {
     peers: Mutex<Sorted<SocketAddr, Arc<Peer>>>,
 }
 
 impl Links {
-    /// The peer at `addr`.
+    /// The peer at `addr`, created on first use.
     pub fn peer(&self, addr: SocketAddr) -> Arc<Peer> {
         let mut peers = self.peers.lock().unwrap_or_else(|e| e.into_inner());
         peers.entry(addr, || Arc::new(Peer::new(addr))).clone()
     }
 }
 
-/// Sends what has gathered while the message before was on its way.
-async fn send_batches(link: Arc<RouterLink>, mut items: mpsc::UnboundedReceiver<Item>) {
+/// Sends queued appends in batches, one batch at a time: each has what was queued during the last.
+async fn send_batches(link: Arc<RouterLink>, mut items: mpsc::UnboundedReceiver<QueuedAppend>) {
     let mut batch = Vec::new();
     while items.recv_many(&mut batch, MAX_BATCH).await > 0 {
-        let (appends, dones): (Vec<Append>, Vec<Done>) =
-            batch.drain(..).map(|i| (i.append, i.done)).unzip();
-        let answers = link.append(appends, LIMIT).await;
-        let answers: Vec<Answer> = match answers {
+        let (appends, replies): (Vec<Append>, Vec<ReplyTo>) =
+            batch.drain(..).map(|i| (i.append, i.reply)).unzip();
+        let answers = link.append(appends, APPEND_TIMEOUT).await;
+        let answers: Vec<AppendResult> = match answers {
             Ok(answers) => answers.into_iter().map(Some).collect(),
-            Err(_) => vec![None; dones.len()],
+            Err(_) => vec![None; replies.len()],
         };
-        for (done, answer) in dones.into_iter().zip(answers) {
-            // An owner that has ended needs no answer.
-            let _ = done.to.send(Acked {
-                call: done.call,
+        for (reply, answer) in replies.into_iter().zip(answers) {
+            // Fails if the driver has ended, which needs no answer.
+            let _ = reply.sender.send(AppendAck {
+                call: reply.call,
                 answer,
             });
         }
--- a/crates/gooseberry-router/src/stream.rs
+++ b/crates/gooseberry-router/src/stream.rs
@@ -1,4 +1,5 @@
-//! The connections of one generation to engines.
+//! Connections from a generation to engines: each reads the frames of one stream and sends them to
+//! the driver as updates.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,8 +13,8 @@
 use tokio::time::sleep;
 use tokio_util::sync::CancellationToken;
 
-/// The waits between tries to end a stream on its engine.
-const CANCEL_WAITS: [Duration; 5] = [
+/// Waits after failed attempts to cancel a stream on its engine.
+const CANCEL_BACKOFF: [Duration; 5] = [
     Duration::from_secs(1),
     Duration::from_secs(3),
     Duration::from_secs(10),
@@ -21,47 +22,47 @@
     Duration::from_secs(30),
 ];
 
-/// The time limit of one try to end a stream.
-const CANCEL_LIMIT: Duration = Duration::from_secs(2);
+/// Time limit of one attempt to cancel a stream.
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// News of a connection.
+/// An update from a connection to the driver.
 #[derive(Clone, Debug)]
-pub struct News {
-    /// The attempt.
+pub struct StreamUpdate {
+    /// Attempt whose stream it concerns.
     pub attempt: Attempt,
-    /// Which of the attempt's connections it came over.
+    /// Number of the connection that sent it.
     pub connection: u64,
-    /// What happened.
+    /// Event for the state machine of the generation.
     pub event: Event,
-    /// The life of the engine, with [`Event::Opened`].
+    /// Incarnation of the engine; only with [`Event::Opened`].
     pub incarnation: Option<Incarnation>,
-    /// Why the output ended, with [`Event::Ended`].
+    /// Why the output ended; only with [`Event::Ended`].
     pub end: Option<FinishReason>,
 }
 
 /// One connection to an engine.
 #[derive(Clone, Debug)]
 pub struct Connection {
-    /// The engine.
+    /// Address of the engine.
     pub addr: SocketAddr,
-    /// The attempt.
+    /// Attempt whose stream it reads.
     pub attempt: Attempt,
-    /// The number of the connection within the generation.
+    /// Number of the connection, unique within the generation.
     pub number: u64,
-    /// The life of the engine that is expected, if any.
+    /// Incarnation of the engine that runs the stream; `None` if it is not known yet.
     pub incarnation: Option<Incarnation>,
-    /// The longest wait for the engine's acceptance.
-    pub limit: Duration,
-    /// Where news goes.
-    pub news: mpsc::Sender<News>,
-    /// Cancelled when the connection is no longer wanted.
+    /// Time limit for the engine to accept the request.
+    pub timeout: Duration,
+    /// Channel to the driver.
+    pub updates: mpsc::Sender<StreamUpdate>,
+    /// Cancelled by the driver to close the connection.
     pub stop: CancellationToken,
 }
 
 impl Connection {
-    /// Starts a stream and reads it.
+    /// Starts a stream on the engine and reads it to its end.
     pub async fn generate(self, body: Generate) {
-        let opening = engine::client::generate(self.addr, &body, self.limit);
+        let opening = engine::client::generate(self.addr, &body, self.timeout);
         let opened = tokio::select! {
             () = self.stop.cancelled() => return,
             opened = opening => opened,
@@ -69,9 +70,9 @@
         self.read(opened).await;
     }
 
-    /// Reads a stream that runs already.
+    /// Reads a stream that already exists on the engine, from offset `from` to its end.
     pub async fn resume(self, name: StreamName, from: Offset) {
-        let opening = engine::client::resume(self.addr, &name, from, self.limit);
+        let opening = engine::client::resume(self.addr, &name, from, self.timeout);
         let opened = tokio::select! {
             () = self.stop.cancelled() => return,
             opened = opening => opened,
@@ -79,12 +80,12 @@
         self.read(opened).await;
     }
 
-    /// Reads a stream to its end.
+    /// Reads the frames of a stream until it ends or fails, or the connection is closed.
     async fn read(self, opened: Result<Frames, EngineError>) {
         let mut frames = match opened {
             Ok(frames) => frames,
             Err(e) => {
-                self.tell(self.open_failed(&e)).await;
+                self.send(self.open_failed(&e)).await;
                 return;
             }
         };
@@ -93,15 +94,15 @@
                 () = self.stop.cancelled() => return,
                 frame = frames.next() => frame,
             };
-            let (news, is_last) = self.translate(frame);
-            if !self.tell(news).await || is_last {
+            let (update, is_last) = self.translate(frame);
+            if !self.send(update).await || is_last {
                 return;
             }
         }
     }
 
-    /// News of one frame, and whether it is the last.
-    fn translate(&self, frame: Result<Option<Frame>, EngineError>) -> (News, bool) {
+    /// The update for one frame, and whether it is the last.
+    fn translate(&self, frame: Result<Option<Frame>, EngineError>) -> (StreamUpdate, bool) {
         let attempt = self.attempt;
         let broken = |cause| Event::Broken { attempt, cause };
         match frame {
@@ -112,11 +113,11 @@
             })) => {
                 if self.incarnation.is_some_and(|i| i != incarnation) {
                     let cause = OpenError::NoStream;
-                    return (self.news(Event::OpenFailed { attempt, cause }), true);
+                    return (self.update(Event::OpenFailed { attempt, cause }), true);
                 }
-                let mut news = self.news(Event::Opened { attempt, offset });
-                news.incarnation = Some(incarnation);
-                (news, false)
+                let mut update = self.update(Event::Opened { attempt, offset });
+                update.incarnation = Some(incarnation);
+                (update, false)
             }
             Ok(Some(Frame::Token { offset, token })) => {
                 let event = Event::Token {
@@ -124,24 +125,24 @@
                     offset,
                     token,
                 };
-                (self.news(event), false)
+                (self.update(event), false)
             }
             Ok(Some(Frame::End { length, finish })) => {
-                let mut news = self.news(Event::Ended { attempt, length });
-                news.end = Some(match finish {
+                let mut update = self.update(Event::Ended { attempt, length });
+                update.end = Some(match finish {
                     Finish::Stop => FinishReason::Stop,
                     Finish::Length => FinishReason::Length,
                 });
-                (news, true)
+                (update, true)
             }
-            Ok(None) => (self.news(broken(StreamError::Closed)), true),
-            Err(EngineError::Stream { .. }) => (self.news(broken(StreamError::Closed)), true),
-            Err(_) => (self.news(broken(StreamError::Garbled)), true),
+            Ok(None) => (self.update(broken(StreamError::Closed)), true),
+            Err(EngineError::Stream { .. }) => (self.update(broken(StreamError::Closed)), true),
+            Err(_) => (self.update(broken(StreamError::Garbled)), true),
         }
     }
 
-    /// News of a stream that could not be opened.
-    fn open_failed(&self, error: &EngineError) -> News {
+    /// The update for a stream that could not be opened.
+    fn open_failed(&self, error: &EngineError) -> StreamUpdate {
         let cause = match error {
             EngineError::Refused { kind, .. } => match kind {
                 RefusalKind::Busy | RefusalKind::NotReady => OpenError::Busy,
@@ -152,11 +153,11 @@
             EngineError::Call(_) | EngineError::Stream { .. } => OpenError::Unreachable,
         };
         let attempt = self.attempt;
-        self.news(Event::OpenFailed { attempt, cause })
+        self.update(Event::OpenFailed { attempt, cause })
     }
 
-    fn news(&self, event: Event) -> News {
-        News {
+    fn update(&self, event: Event) -> StreamUpdate {
+        StreamUpdate {
             attempt: self.attempt,
             connection: self.number,
             event,
@@ -165,27 +166,31 @@
         }
     }
 
-    /// Sends news; returns whether anybody listens.
-    async fn tell(&self, news: News) -> bool {
+    /// Sends an update; `false` if the connection is closed or the driver has ended.
+    async fn send(&self, update: StreamUpdate) -> bool {
         tokio::select! {
             () = self.stop.cancelled() => false,
-            sent = self.news.send(news) => sent.is_ok(),
+            sent = self.updates.send(update) => sent.is_ok(),
         }
     }
 }
 
-/// Ends a stream on its engine, trying again for a while if the engine is away.
+/// Cancels a stream on its engine; retries with backoff while that fails, and logs a warning after
+/// the last attempt.
 pub async fn cancel(addr: SocketAddr, name: StreamName) {
-    for wait in CANCEL_WAITS {
-        let refused = match engine::client::cancel(addr, &name, CANCEL_LIMIT).await {
+    for wait in CANCEL_BACKOFF {
+        let is_absent = match engine::client::cancel(addr, &name, CANCEL_TIMEOUT).await {
             Ok(()) => return,
             Err(EngineError::Refused { kind, .. }) => kind == RefusalKind::NoStream,
             Err(EngineError::Call(_) | EngineError::Stream { .. }) => false,
         };
-        if refused {
+        if is_absent {
             return;
         }
         sleep(wait).await;
     }
-    log::warn!("engine stream not cancelled addr={addr} stream={}", name.0);
+    log::warn!(
+        "failed to cancel an engine stream; no retries left addr={addr} stream={}",
+        name.0
+    );
 }
