--- a/crates/gooseberry-router/src/claims.rs
+++ b/crates/gooseberry-router/src/claims.rs
@@ -19,17 +19,17 @@
 use crate::context::Router;
 
 /// One write and where its verdict goes.
-struct Item {
+struct QueuedWrite {
     write: Write,
-    done: oneshot::Sender<Verdict>,
+    verdict_sender: oneshot::Sender<Verdict>,
 }
 
 /// The way to the task that writes.
 #[derive(Debug)]
 pub struct Claims {
-    to: mpsc::UnboundedSender<Item>,
-    from: Mutex<Option<mpsc::UnboundedReceiver<Item>>>,
-    last: AtomicU64,
+    sender: mpsc::UnboundedSender<QueuedWrite>,
+    receiver: Mutex<Option<mpsc::UnboundedReceiver<QueuedWrite>>>,
+    next_number: AtomicU64,
     transactions: AtomicU64,
     failures: AtomicU64,
     waiting: AtomicU64,
@@ -37,11 +37,11 @@
 
 impl Default for Claims {
     fn default() -> Self {
-        let (to, from) = mpsc::unbounded_channel();
+        let (sender, receiver) = mpsc::unbounded_channel();
         Self {
-            to,
-            from: Mutex::new(Some(from)),
-            last: AtomicU64::new(0),
+            sender,
+            receiver: Mutex::new(Some(receiver)),
+            next_number: AtomicU64::new(0),
             transactions: AtomicU64::new(0),
             failures: AtomicU64::new(0),
             waiting: AtomicU64::new(0),
@@ -52,35 +52,42 @@
 impl Claims {
     /// A token that no other submission has.
     pub fn owner(&self, router: Incarnation) -> Owner {
-        let number = self.last.fetch_add(1, Ordering::Relaxed);
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         Owner { router, number }
     }
 
     /// Writes a row, or takes it away.
     pub async fn put(&self, key: String, expected: Expected, record: Option<Record>) -> Verdict {
-        let (done, verdict) = oneshot::channel();
+        let (verdict_sender, verdict) = oneshot::channel();
         let write = Write {
             ticket: 0,
             key,
             expected,
             record,
         };
-        if self.to.send(Item { write, done }).is_err() {
+        if self
+            .sender
+            .send(QueuedWrite {
+                write,
+                verdict_sender,
+            })
+            .is_err()
+        {
             return Verdict::Unconfirmed;
         }
         verdict.await.unwrap_or(Verdict::Unconfirmed)
     }
 
     /// The receiving end; the task that writes takes it once.
-    fn take(&self) -> Option<mpsc::UnboundedReceiver<Item>> {
-        let mut from = self.from.lock().unwrap_or_else(|e| e.into_inner());
-        from.take()
+    fn take_receiver(&self) -> Option<mpsc::UnboundedReceiver<QueuedWrite>> {
+        let mut receiver = self.receiver.lock().unwrap_or_else(|e| e.into_inner());
+        receiver.take()
     }
 
     /// What was written, for a state dump.
     pub fn dump(&self) -> Value {
         json!({
-            "submissions": self.last.load(Ordering::Relaxed),
+            "submissions": self.next_number.load(Ordering::Relaxed),
             "transactions": self.transactions.load(Ordering::Relaxed),
             "failures": self.failures.load(Ordering::Relaxed),
             "waiting": self.waiting.load(Ordering::Relaxed),
@@ -97,12 +104,12 @@
 }
 
 /// Reads the row at `key`.
-pub async fn look(router: &Router, key: &str) -> Verdict {
+pub async fn read_row(router: &Router, key: &str) -> Verdict {
     let rows = platform(router).read(vec![key.to_owned()]).await;
     match rows.map(|rows| rows.into_iter().next().flatten()) {
         Ok(None) => Verdict::Found(None),
-        Ok(Some(row)) => match held(row) {
-            Some(held) => Verdict::Found(Some(held)),
+        Ok(Some(row)) => match parse_row(row) {
+            Some(stored) => Verdict::Found(Some(stored)),
             None => Verdict::Unconfirmed,
         },
         Err(_) => Verdict::Unconfirmed,
@@ -111,10 +118,10 @@
 
 /// Writes for ever.
 pub async fn write(router: Arc<Router>) {
-    let Some(mut items) = router.claims.take() else {
+    let Some(mut items) = router.claims.take_receiver() else {
         return;
     };
-    let (to, mut replies) = mpsc::unbounded_channel();
+    let (reply_sender, mut replies) = mpsc::unbounded_channel();
     let mut batcher = Batcher::new(router.settings.claims);
     let mut waiting: Sorted<u64, oneshot::Sender<Verdict>> = Sorted::default();
     let mut ticket = 0;
@@ -122,29 +129,29 @@
         let now = router.timer.now();
         if batcher.due() <= now {
             // What a submission has given up must not take effect much later.
-            waiting.retain(|_, done| !done.is_closed());
+            waiting.retain(|_, verdict_sender| !verdict_sender.is_closed());
             batcher.withdraw(|ticket| waiting.get(&ticket).is_some());
         }
         while let Some((number, writes)) = batcher.next(now) {
-            let (router, to) = (router.clone(), to.clone());
+            let (router, reply_sender) = (router.clone(), reply_sender.clone());
             tokio::spawn(async move {
                 // The receiver lives as long as the process.
-                let _ = to.send((number, transact(&router, writes).await));
+                let _ = reply_sender.send((number, transact(&router, writes).await));
             });
         }
         tokio::select! {
             item = items.recv() => {
-                let Some(Item { mut write, done }) = item else { return };
+                let Some(QueuedWrite { mut write, verdict_sender }) = item else { return };
                 ticket += 1;
                 write.ticket = ticket;
-                waiting.insert(ticket, done);
+                waiting.insert(ticket, verdict_sender);
                 batcher.push(router.timer.now(), write);
             }
             Some((number, reply)) = replies.recv() => {
                 for (ticket, verdict) in batcher.reply(router.timer.now(), number, reply) {
-                    if let Some(done) = waiting.remove(&ticket) {
+                    if let Some(verdict_sender) = waiting.remove(&ticket) {
                         // A submission that no longer waits has other work by now.
-                        let _ = done.send(verdict);
+                        let _ = verdict_sender.send(verdict);
                     }
                 }
             }
@@ -175,8 +182,8 @@
 fn reply(router: &Router, answer: Result<Outcome, CallError>) -> Reply {
     match answer {
         Ok(Outcome::Committed(versions)) => Reply::Committed(versions),
-        Ok(Outcome::Conflict(found)) => match found.into_iter().map(unmet).collect() {
-            Some(unmet) => Reply::Conflict(unmet),
+        Ok(Outcome::Conflict(found)) => match found.into_iter().map(conflicting_row).collect() {
+            Some(rows) => Reply::Conflict(rows),
             None => Reply::Unconfirmed,
         },
         Err(cause) => {
@@ -192,15 +199,15 @@
 }
 
 /// A row that did not meet its condition; `None` if it is not of this system's shape.
-fn unmet(found: Found) -> Option<(usize, Option<VersionedRecord>)> {
+fn conflicting_row(found: Found) -> Option<(usize, Option<VersionedRecord>)> {
     match found.row {
         None => Some((found.index, None)),
-        Some(row) => Some((found.index, Some(held(row)?))),
+        Some(row) => Some((found.index, Some(parse_row(row)?))),
     }
 }
 
 /// Reads a row.
-pub fn held(row: Row) -> Option<VersionedRecord> {
+pub fn parse_row(row: Row) -> Option<VersionedRecord> {
     let record = serde_json::from_value(row.value).ok()?;
     Some(VersionedRecord {
         version: row.version,
--- a/crates/gooseberry-router/src/config.rs
+++ b/crates/gooseberry-router/src/config.rs
@@ -14,13 +14,13 @@
 use crate::context::Router;
 
 /// How long the agent may hold back an answer without news, in milliseconds.
-const WAIT: Millis = Millis(1_000);
+const LONG_POLL_WAIT: Millis = Millis(1_000);
 
 /// How long to wait for an agent beyond that.
-const LIMIT: Duration = Duration::from_millis(2_000);
+const CALL_LIMIT: Duration = Duration::from_millis(2_000);
 
 /// The time between tries when no agent answers.
-const RETRY: Millis = Millis(250);
+const RETRY_DELAY: Millis = Millis(250);
 
 /// The configuration, the hosts and the backend servers as they are in force.
 #[derive(Clone, Debug, Default)]
@@ -38,35 +38,38 @@
 }
 
 /// How long another agent is followed before this host's own is tried again.
-const RETURN: Millis = Millis(5_000);
+const OWN_AGENT_INTERVAL: Millis = Millis(5_000);
 
 /// Follows the agent for ever: that of this host, else another of the data centre.
 pub async fn follow(router: Arc<Router>) {
     let own = router.settings.agent;
     let mut link = AgentLink::new(own);
     let mut revision = 0;
-    let mut since = router.timer.now();
+    let mut last_try = router.timer.now();
     loop {
         let now = router.timer.now();
-        if link.addr() != own && now.since(since) >= RETURN {
-            since = now;
-            if let Some(back) = own_agent(&router).await {
-                link = back;
+        if link.addr() != own && now.since(last_try) >= OWN_AGENT_INTERVAL {
+            last_try = now;
+            if let Some(own_link) = own_agent(&router).await {
+                link = own_link;
                 revision = 0;
             }
         }
         let version = router.snapshot().document.version;
-        match link.view(revision, version, WAIT, LIMIT).await {
+        match link
+            .view(revision, version, LONG_POLL_WAIT, CALL_LIMIT)
+            .await
+        {
             Ok(view) => {
                 revision = view.revision;
-                adopt(&router, view, link.addr());
+                apply_view(&router, view, link.addr());
             }
             Err(e) => {
                 log::warn!("agent lost host={} cause=\"{e}\"", router.settings.host);
-                router.timer.after(RETRY).await;
+                router.timer.after(RETRY_DELAY).await;
                 link = AgentLink::new(other_agent(&router, &link));
                 revision = 0;
-                since = router.timer.now();
+                last_try = router.timer.now();
             }
         }
     }
@@ -76,15 +79,15 @@
 async fn own_agent(router: &Router) -> Option<AgentLink> {
     let link = AgentLink::new(router.settings.agent);
     let version = router.snapshot().document.version;
-    let view = link.view(0, version, Millis(0), LIMIT).await.ok()?;
+    let view = link.view(0, version, Millis(0), CALL_LIMIT).await.ok()?;
     // An agent that has just started knows less than the one that is followed.
     (view.version >= version).then_some(link)
 }
 
 /// Tells the agent of this host that the host leaves.
-pub async fn tell_leaving(router: &Router) {
+pub async fn report_leaving(router: &Router) {
     let link = AgentLink::new(router.settings.agent);
-    if let Err(e) = link.leave(LIMIT).await {
+    if let Err(e) = link.leave(CALL_LIMIT).await {
         // The host list and the refusals of this router tell the others as well.
         log::warn!("agent not told host={} cause=\"{e}\"", router.settings.host);
     }
@@ -98,20 +101,20 @@
         return own;
     }
     let snapshot = router.snapshot();
-    let is_near = |h: &&HostView| h.data_centre == router.settings.data_centre && h.agent != own;
-    let all: Vec<&HostView> = snapshot.hosts.iter().filter(is_near).collect();
-    let usable = |h: &&&HostView| h.alive && !h.leaving;
-    let usable: Vec<&HostView> = all.iter().filter(usable).copied().collect();
-    let near = if usable.is_empty() { all } else { usable };
-    if near.is_empty() {
+    let is_nearby = |h: &&HostView| h.data_centre == router.settings.data_centre && h.agent != own;
+    let nearby: Vec<&HostView> = snapshot.hosts.iter().filter(is_nearby).collect();
+    let is_usable = |h: &&&HostView| h.alive && !h.leaving;
+    let usable: Vec<&HostView> = nearby.iter().filter(is_usable).copied().collect();
+    let candidates = if usable.is_empty() { nearby } else { usable };
+    if candidates.is_empty() {
         return own;
     }
-    let i = rand::random_range(0..near.len());
-    near[i].agent
+    let i = rand::random_range(0..candidates.len());
+    candidates[i].agent
 }
 
 /// Puts the view of an agent into force; a document of a lower version is never taken.
-fn adopt(router: &Router, view: View, agent: SocketAddr) {
+fn apply_view(router: &Router, view: View, agent: SocketAddr) {
     let own = view.hosts.iter().find(|h| h.host == router.settings.host);
     let drain = if agent == router.settings.agent {
         view.drain
@@ -121,10 +124,10 @@
     if drain {
         router.drain.cancel();
     }
-    let held = router.snapshot();
+    let current = router.snapshot();
     let now = router.timer.now();
     let document = match view.document {
-        Some(document) if document.version > held.document.version => {
+        Some(document) if document.version > current.document.version => {
             log::info!(
                 "configuration in force host={} version={}",
                 router.settings.host,
@@ -133,12 +136,12 @@
             let _ = router.metrics.gauge("config_version", document.version.0);
             Arc::new(document)
         }
-        _ => held.document.clone(),
+        _ => current.document.clone(),
     };
     let backends = view
         .backends
         .into_iter()
-        .map(|seen| Arc::new(Backend::adopt(now, seen, &held.backends)))
+        .map(|backend| Arc::new(Backend::adopt(now, backend, &current.backends)))
         .collect();
     router.swap(Snapshot {
         document,
--- a/crates/gooseberry-router/src/context.rs
+++ b/crates/gooseberry-router/src/context.rs
@@ -16,7 +16,7 @@
 use crate::config::Snapshot;
 use crate::links::Links;
 use crate::registry::Registry;
-use crate::services::repeat::Budgets;
+use crate::services::retry::Budgets;
 use crate::shelf::Shelf;
 
 /// A router.
--- a/crates/gooseberry-router/src/run.rs
+++ b/crates/gooseberry-router/src/run.rs
@@ -20,10 +20,10 @@
 use crate::{admin, admit, claims, config, drain, http, stream};
 
 /// The time between looks for journals that have been held long enough.
-const EXPIRE: Millis = Millis(1_000);
+const EXPIRE_INTERVAL: Millis = Millis(1_000);
 
 /// How long callers may take to read the rest of answers that have ended here.
-const FLUSH: Duration = Duration::from_secs(30);
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Why a router cannot start.
 #[derive(Debug, Error)]
@@ -69,7 +69,7 @@
         tokio::spawn(expire(router.clone())),
         tokio::spawn(admit::watch(router.clone())),
         tokio::spawn(claims::write(router.clone())),
-        tokio::spawn(clear::follow(router.clone())),
+        tokio::spawn(clear::run(router.clone())),
         tokio::spawn(serve_peers(router.clone(), peers, end.clone())),
     ];
     let (r, e) = (router.clone(), end.clone());
@@ -87,7 +87,7 @@
     drain::run(&router).await;
     end.cancel();
     // A task that failed has nothing left to wait for.
-    let _ = timeout(FLUSH, serving_callers).await;
+    let _ = timeout(FLUSH_TIMEOUT, serving_callers).await;
     serving_operators.abort();
     for task in loops {
         task.abort();
@@ -120,7 +120,7 @@
 
 /// Drops old journals and ends the engine streams that they leave behind.
 async fn expire(router: Arc<Router>) {
-    let mut ticks = router.timer.every(EXPIRE);
+    let mut ticks = router.timer.every(EXPIRE_INTERVAL);
     loop {
         let now = ticks.next().await;
         for orphan in router.shelf.expire(now) {
--- a/crates/gooseberry-router/src/services.rs
+++ b/crates/gooseberry-router/src/services.rs
@@ -4,7 +4,7 @@
 pub mod job;
 pub mod once;
 pub mod outcome;
-pub mod repeat;
+pub mod retry;
 pub mod rules;
 
 use std::sync::Arc;
@@ -47,7 +47,7 @@
     let document = &snapshot.document;
     let (parts, body) = request.into_parts();
     let workspace = auth::workspace(document, &parts.headers)?;
-    let (service, profile, uri) = find(document, &parts.uri)?;
+    let (service, profile, uri) = resolve(document, &parts.uri)?;
     let key = caller::key(&parts.headers)?;
     let body = reply::read_bytes(body, profile.limits.body_bytes)
         .await
@@ -63,7 +63,7 @@
         .concat(),
     );
     let call = Call {
-        headers: passed_on(&parts.headers, workspace.name.as_str()),
+        headers: forwarded_headers(&parts.headers, workspace.name.as_str()),
         method: parts.method,
         uri,
         body,
@@ -78,14 +78,14 @@
         call,
         arrived,
     );
-    let shown = job.key.clone();
-    let mut response = if rules::may_repeat(service, &job.call) {
-        repeat::run(router, &job, &profile.retry).await
+    let key = job.key.clone();
+    let mut response = if rules::is_idempotent(service, &job.call) {
+        retry::run(router, &job, &profile.retry).await
     } else {
         once::run(router, job).await
     };
     let headers = response.headers_mut();
-    if let Ok(value) = HeaderValue::from_str(&shown) {
+    if let Ok(value) = HeaderValue::from_str(&key) {
         headers.insert(KEY_HEADER, value);
     }
     headers.insert(VERSION_HEADER, HeaderValue::from(document.version.0));
@@ -108,12 +108,12 @@
 }
 
 /// The service that a path names, its profile, and the rest of the path.
-fn find<'a>(
+fn resolve<'a>(
     document: &'a Document,
     uri: &Uri,
 ) -> Result<(&'a Service, &'a Profile, Uri), CallerError> {
-    let whole = uri.path_and_query().map_or("", |p| p.as_str());
-    let rest = whole.strip_prefix(PREFIX).unwrap_or_default();
+    let path_query = uri.path_and_query().map_or("", |p| p.as_str());
+    let rest = path_query.strip_prefix(PREFIX).unwrap_or_default();
     let end = rest.find(['/', '?']).unwrap_or(rest.len());
     let (name, path) = rest.split_at(end);
     let path = if path.starts_with('/') {
@@ -134,15 +134,15 @@
 }
 
 /// The headers that reach the backend server; [`Job::new`] adds the key.
-fn passed_on(headers: &HeaderMap, workspace: &str) -> HeaderMap {
-    let mut passed = HeaderMap::new();
+fn forwarded_headers(headers: &HeaderMap, workspace: &str) -> HeaderMap {
+    let mut forwarded = HeaderMap::new();
     for name in [ACCEPT, CONTENT_TYPE] {
         if let Some(value) = headers.get(&name) {
-            passed.insert(name, value.clone());
+            forwarded.insert(name, value.clone());
         }
     }
     if let Ok(value) = HeaderValue::from_str(workspace) {
-        passed.insert(WORKSPACE_HEADER, value);
+        forwarded.insert(WORKSPACE_HEADER, value);
     }
-    passed
+    forwarded
 }
--- a/crates/gooseberry-router/src/services/clear.rs
+++ b/crates/gooseberry-router/src/services/clear.rs
@@ -11,36 +11,36 @@
 use store::wire::{Expect, Op, Scan, Transact, Write};
 use web::client::CallError;
 
-use crate::claims::{held, platform};
+use crate::claims::{parse_row, platform};
 use crate::context::Router;
 use crate::services::job::wall_ms;
 
 /// The time between two reads of the table.
-const PAUSE: Millis = Millis(1_000);
+const SCAN_INTERVAL: Millis = Millis(1_000);
 
 /// The most rows in one read.
-const PAGE: usize = 500;
+const PAGE_ROWS: usize = 500;
 
 /// Clears for ever.
-pub async fn follow(router: Arc<Router>) {
+pub async fn run(router: Arc<Router>) {
     loop {
         for part in 0..PARTITIONS {
-            if is_own(&router, part) {
+            if is_assigned(&router, part) {
                 clear_part(&router, part).await;
-                router.timer.after(PAUSE).await;
+                router.timer.after(SCAN_INTERVAL).await;
             }
         }
-        router.timer.after(PAUSE).await;
+        router.timer.after(SCAN_INTERVAL).await;
     }
 }
 
 /// Whether this host clears `part`.
-fn is_own(router: &Router, part: u64) -> bool {
+fn is_assigned(router: &Router, part: u64) -> bool {
     let snapshot = router.snapshot();
     let key = partition_prefix(part);
     let live = snapshot.hosts.iter().filter(|h| h.alive && !h.leaving);
-    let first = live.max_by_key(|h| rendezvous(&key, h.host.as_str()));
-    first.is_some_and(|h| h.host == router.settings.host)
+    let assigned = live.max_by_key(|h| rendezvous(&key, h.host.as_str()));
+    assigned.is_some_and(|h| h.host == router.settings.host)
 }
 
 /// Clears the rows of one part.
@@ -58,7 +58,7 @@
                 return;
             }
         }
-        router.timer.after(PAUSE).await;
+        router.timer.after(SCAN_INTERVAL).await;
     }
 }
 
@@ -71,22 +71,22 @@
     let scan = Scan {
         prefix,
         after: after.to_owned(),
-        limit: PAGE,
+        limit: PAGE_ROWS,
     };
     let rows = platform(router).scan(&scan).await?;
     let last = rows.last().map(|r| r.key.clone());
-    let is_last = rows.len() < PAGE;
+    let is_last = rows.len() < PAGE_ROWS;
     let now = wall_ms();
     let mut ops = Vec::new();
     for row in rows {
         let key = row.key.clone();
-        let Some(held) = held(row).filter(|h| h.record.until_ms < now) else {
+        let Some(stored) = parse_row(row).filter(|s| s.record.until_ms < now) else {
             continue;
         };
-        clear_object(router, &held).await?;
+        delete_object(router, &stored).await?;
         ops.push(Op {
             key,
-            expect: Expect::Version(held.version),
+            expect: Expect::Version(stored.version),
             write: Write::Delete,
         });
     }
@@ -98,8 +98,8 @@
 }
 
 /// Takes away the body that a row names.
-async fn clear_object(router: &Router, held: &VersionedRecord) -> Result<(), CallError> {
-    if let State::Done(outcome) = &held.record.state
+async fn delete_object(router: &Router, stored: &VersionedRecord) -> Result<(), CallError> {
+    if let State::Done(outcome) = &stored.record.state
         && let Body::Object(name) = &outcome.body
     {
         platform(router).delete_object(name).await?;
--- a/crates/gooseberry-router/src/services/job.rs
+++ b/crates/gooseberry-router/src/services/job.rs
@@ -14,13 +14,13 @@
 use crate::context::Router;
 
 /// The part of the deadline that is kept for making sure that a call is not sent: one in so many.
-const RESERVE: u64 = 4;
+const RESERVE_DIVISOR: u64 = 4;
 
 /// The most that is kept, in milliseconds.
-const MAX_RESERVE: u64 = 1_000;
+const MAX_RESERVE_MS: u64 = 1_000;
 
 /// A row is kept for at least so many deadlines, so that no submission outlives it.
-const MIN_RETAIN: u64 = 2;
+const MIN_RETAIN_DEADLINES: u64 = 2;
 
 /// One submission of a call.
 #[derive(Clone, Debug)]
@@ -58,18 +58,18 @@
         service: &Service,
         profile: &Profile,
         workspace: &WorkspaceName,
-        given: Option<String>,
+        caller_key: Option<String>,
         digest: u64,
         mut call: Call,
         arrived: Millis,
     ) -> Self {
-        let origin = origin(given.as_deref());
-        let key = given.unwrap_or_else(|| mint(router));
+        let origin = origin(caller_key.as_deref());
+        let key = caller_key.unwrap_or_else(|| generate_key(router));
         if let Ok(value) = HeaderValue::from_str(&key) {
             call.headers
                 .insert(HeaderName::from_static(KEY_HEADER), value);
         }
-        let reserve = (profile.deadline_ms / RESERVE).min(MAX_RESERVE);
+        let reserve = (profile.deadline_ms / RESERVE_DIVISOR).min(MAX_RESERVE_MS);
         let deadline = arrived + Millis(profile.deadline_ms);
         Self {
             row: row_key(&service.name, workspace, &key),
@@ -84,7 +84,9 @@
                 send_by: deadline - Millis(reserve),
                 deadline,
             },
-            retain_ms: service.retain_ms.max(profile.deadline_ms * MIN_RETAIN),
+            retain_ms: service
+                .retain_ms
+                .max(profile.deadline_ms * MIN_RETAIN_DEADLINES),
         }
     }
 
@@ -108,12 +110,12 @@
 
 /// The time of day, in milliseconds since 1970.
 pub fn wall_ms() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(0, |d| u64::try_from(d.as_millis()).unwrap_or(u64::MAX))
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
+    elapsed.map_or(0, |d| u64::try_from(d.as_millis()).unwrap_or(u64::MAX))
 }
 
-fn origin(given: Option<&str>) -> KeyOrigin {
-    match given {
+fn origin(caller_key: Option<&str>) -> KeyOrigin {
+    match caller_key {
         None => KeyOrigin::Generated,
         Some(key) if key.starts_with(GENERATED_PREFIX) => KeyOrigin::Foreign,
         Some(_) => KeyOrigin::Caller,
@@ -121,7 +123,7 @@
 }
 
 /// A key that no other submission has.
-fn mint(router: &Router) -> String {
+fn generate_key(router: &Router) -> String {
     let number: u64 = rand::random();
     format!(
         "{GENERATED_PREFIX}{:016x}{number:016x}",
--- a/crates/gooseberry-router/src/services/once.rs
+++ b/crates/gooseberry-router/src/services/once.rs
@@ -21,30 +21,30 @@
 use crate::services::outcome;
 
 /// The longest wait for a connection; it may be tried again, as nothing was sent.
-const CONNECT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// What the caller is told, with the answer that was just received.
-struct Told {
+struct CallResult {
     answer: Answer,
     reply: Option<Reply>,
 }
 
 /// What came of one action.
-struct Done {
+struct StepResult {
     event: Event,
     /// The server and the connection, after [`Action::SelectServer`].
-    ready: Option<(Placed, Connection)>,
+    target: Option<(Placed, Connection)>,
     /// A server that could not be reached.
     failed: Option<BackendId>,
     /// The answer of the server, after [`Action::Send`].
     reply: Option<Reply>,
 }
 
-impl From<Event> for Done {
+impl From<Event> for StepResult {
     fn from(event: Event) -> Self {
         Self {
             event,
-            ready: None,
+            target: None,
             failed: None,
             reply: None,
         }
@@ -53,9 +53,9 @@
 
 /// What one action needs of those before it.
 #[derive(Default)]
-struct With {
+struct StepInput {
     /// The server and the connection to send on.
-    ready: Option<(Placed, Connection)>,
+    target: Option<(Placed, Connection)>,
     /// The servers that could not be reached.
     avoid: Vec<BackendId>,
     /// The answer that is to be kept.
@@ -71,60 +71,66 @@
 
 /// Runs one submission; it goes on if its caller leaves.
 pub async fn run(router: &Arc<Router>, job: Job) -> Response {
-    let (tell, told) = oneshot::channel();
+    let (result_sender, result) = oneshot::channel();
     let deadline = job.times.deadline;
     let context = Arc::new(Context {
         owner: router.claims.owner(router.incarnation),
         router: router.clone(),
         job,
     });
-    tokio::spawn(drive(context.clone(), tell));
-    match told.await {
-        Ok(told) => outcome::response(router, told.answer, told.reply, deadline).await,
+    tokio::spawn(drive(context.clone(), result_sender));
+    match result.await {
+        Ok(result) => outcome::response(router, result.answer, result.reply, deadline).await,
         Err(_) => outcome::interrupted().response(),
     }
 }
 
 /// Feeds the state machine and carries out what it decides.
-async fn drive(context: Arc<Context>, tell: oneshot::Sender<Told>) {
+async fn drive(context: Arc<Context>, result_sender: oneshot::Sender<CallResult>) {
     let (router, job) = (&context.router, &context.job);
     let number = router.registry.enter(&job.name);
     let start = router.timer.now();
-    let (mut once, first) = Submission::new(context.owner, job.digest, job.origin, job.times);
-    let mut tell = Some(tell);
-    let mut with = With::default();
-    let mut work = Some(Box::pin(perform(context.clone(), first, With::default())));
-    while once.phase() != Phase::Over {
-        router.registry.note(number, || json!({ "call": once }));
-        let done = tokio::select! {
-            done = finished(&mut work) => {
+    let (mut submission, first) = Submission::new(context.owner, job.digest, job.origin, job.times);
+    let mut result_sender = Some(result_sender);
+    let mut input = StepInput::default();
+    let mut work = Some(Box::pin(perform(
+        context.clone(),
+        first,
+        StepInput::default(),
+    )));
+    while submission.phase() != Phase::Over {
+        router
+            .registry
+            .note(number, || json!({ "call": submission }));
+        let result = tokio::select! {
+            result = finished(&mut work) => {
                 work = None;
-                done
+                result
             }
-            () = router.timer.at(once.due()) => Done::from(Event::TimerFired),
+            () = router.timer.at(submission.due()) => StepResult::from(Event::TimerFired),
         };
-        with.ready = done.ready;
-        with.avoid.extend(done.failed);
-        with.reply = done.reply.or(with.reply);
-        let before = once.phase();
-        for action in once.handle(router.timer.now(), done.event) {
+        input.target = result.target;
+        input.avoid.extend(result.failed);
+        input.reply = result.reply.or(input.reply);
+        let before = submission.phase();
+        for action in submission.handle(router.timer.now(), result.event) {
             if let Action::Answer(answer) = action {
-                note(&context, &answer);
-                let reply = with.reply.clone();
-                if let Some(tell) = tell.take() {
+                log_answer(&context, &answer);
+                let reply = input.reply.clone();
+                if let Some(result_sender) = result_sender.take() {
                     // The caller may have left; its outcome is stored all the same.
-                    let _ = tell.send(Told { answer, reply });
+                    let _ = result_sender.send(CallResult { answer, reply });
                 }
                 continue;
             }
-            let next = With {
-                ready: with.ready.take(),
-                avoid: with.avoid.clone(),
-                reply: with.reply.clone(),
+            let step_input = StepInput {
+                target: input.target.take(),
+                avoid: input.avoid.clone(),
+                reply: input.reply.clone(),
             };
-            work = Some(Box::pin(perform(context.clone(), action, next)));
+            work = Some(Box::pin(perform(context.clone(), action, step_input)));
         }
-        if before == Phase::Claiming && once.phase() == Phase::Holding {
+        if before == Phase::Claiming && submission.phase() == Phase::Holding {
             let took = router.timer.now().since(start).0;
             // Metrics that cannot be sent are no concern of the caller.
             let _ = router.metrics.time("claims.claim", took);
@@ -134,7 +140,7 @@
 }
 
 /// Waits for the work under way, or for ever if there is none.
-async fn finished<F: Future<Output = Done>>(work: &mut Option<Pin<Box<F>>>) -> Done {
+async fn finished<F: Future<Output = StepResult>>(work: &mut Option<Pin<Box<F>>>) -> StepResult {
     match work {
         Some(work) => work.await,
         None => std::future::pending().await,
@@ -142,18 +148,18 @@
 }
 
 /// Logs and counts what a caller is told.
-fn note(context: &Context, answer: &Answer) {
+fn log_answer(context: &Context, answer: &Answer) {
     let (router, job) = (&context.router, &context.job);
-    let (name, is_loss) = match answer {
+    let (name, is_failure) = match answer {
         Answer::Fresh => ("fresh", false),
         Answer::Stored(_) => ("stored", false),
         Answer::Reused => ("reused", false),
         Answer::NotRun => ("not_run", true),
-        Answer::Unknown(doubt) => (doubt.into(), true),
+        Answer::Unknown(reason) => (reason.into(), true),
     };
     // Metrics that cannot be sent are no concern of the caller.
     let _ = router.metrics.count(&format!("calls.{name}"), 1);
-    let level = if is_loss {
+    let level = if is_failure {
         log::Level::Warn
     } else {
         log::Level::Debug
@@ -168,11 +174,11 @@
 }
 
 /// Carries out one action.
-async fn perform(context: Arc<Context>, action: Action, with: With) -> Done {
+async fn perform(context: Arc<Context>, action: Action, input: StepInput) -> StepResult {
     let (router, job) = (&context.router, &context.job);
     match action {
         Action::Write(expected, state) => {
-            if !outcome::keep_body(router, &state, with.reply.as_ref()).await {
+            if !outcome::store_body(router, &state, input.reply.as_ref()).await {
                 return Event::Unconfirmed.into();
             }
             let record = Record {
@@ -182,29 +188,29 @@
                 state,
             };
             let row = job.row.clone();
-            event(router.claims.put(row, expected, Some(record)).await).into()
+            verdict_event(router.claims.put(row, expected, Some(record)).await).into()
         }
         Action::Delete(version) => {
             let row = job.row.clone();
             let expected = Expected::Version(version);
-            event(router.claims.put(row, expected, None).await).into()
+            verdict_event(router.claims.put(row, expected, None).await).into()
         }
-        Action::Read => event(claims::look(router, &job.row).await).into(),
-        Action::SelectServer => pick(router, job, &with.avoid).await,
-        Action::Send => send(&context, with.ready).await,
+        Action::Read => verdict_event(claims::read_row(router, &job.row).await).into(),
+        Action::SelectServer => select_server(router, job, &input.avoid).await,
+        Action::Send => send(&context, input.target).await,
         Action::Answer(_) => Event::TimerFired.into(),
     }
 }
 
 /// Chooses a server and connects to it, so that nothing but the call itself follows the check.
-async fn pick(router: &Router, job: &Job, avoid: &[BackendId]) -> Done {
+async fn select_server(router: &Router, job: &Job, avoid: &[BackendId]) -> StepResult {
     let Ok(mut placed) = place(router, &job.want(avoid)) else {
         return Event::NoServer.into();
     };
-    let seen = &placed.backend.seen;
-    match Connection::open(seen.addr, CONNECT).await {
-        Ok(connection) => Done {
-            ready: Some((placed, connection)),
+    let view = &placed.backend.seen;
+    match Connection::open(view.addr, CONNECT_TIMEOUT).await {
+        Ok(connection) => StepResult {
+            target: Some((placed, connection)),
             ..Event::ServerReady.into()
         },
         Err(cause) => {
@@ -212,11 +218,11 @@
                 "backend server not reached key={} host={} backend={} cause=\"{cause}\"",
                 job.name,
                 router.settings.host,
-                seen.backend
+                view.backend
             );
-            let failed = Some(seen.backend.clone());
+            let failed = Some(view.backend.clone());
             placed.failed(router.timer.now());
-            Done {
+            StepResult {
                 failed,
                 ..Event::NoServer.into()
             }
@@ -225,16 +231,16 @@
 }
 
 /// Sends the call.
-async fn send(context: &Context, ready: Option<(Placed, Connection)>) -> Done {
+async fn send(context: &Context, target: Option<(Placed, Connection)>) -> StepResult {
     let (router, job) = (&context.router, &context.job);
-    let Some((mut placed, connection)) = ready else {
+    let Some((mut placed, connection)) = target else {
         return Event::NotSent.into();
     };
     let limit = job.times.deadline.since(router.timer.now()).duration();
     match connection.call(job.call.clone(), limit).await {
         Ok(reply) => {
             placed.first_token(router.timer.now());
-            Done {
+            StepResult {
                 event: Event::Answered(outcome::outcome(job, &reply)),
                 reply: Some(reply),
                 ..Event::TimerFired.into()
@@ -254,7 +260,7 @@
 }
 
 /// The event of a verdict.
-fn event(verdict: Verdict) -> Event {
+fn verdict_event(verdict: Verdict) -> Event {
     match verdict {
         Verdict::Committed(version) => Event::Committed(version),
         Verdict::Found(held) => Event::Found(held),
--- a/crates/gooseberry-router/src/services/outcome.rs
+++ b/crates/gooseberry-router/src/services/outcome.rs
@@ -19,10 +19,10 @@
 const MAX_ROW_BYTES: usize = 8 * 1024;
 
 /// The wait before an object is read again.
-const READ_AGAIN: Millis = Millis(100);
+const READ_RETRY: Millis = Millis(100);
 
 /// The seconds after which it helps to ask again.
-const COME_BACK: u64 = 1;
+const RETRY_AFTER_S: u64 = 1;
 
 /// A body in the object store.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -53,7 +53,7 @@
 }
 
 /// Stores the body that a row is to name; returns whether the row may be written.
-pub async fn keep_body(router: &Router, state: &State, reply: Option<&Reply>) -> bool {
+pub async fn store_body(router: &Router, state: &State, reply: Option<&Reply>) -> bool {
     let State::Done(Outcome {
         body: Body::Object(name),
         ..
@@ -74,25 +74,25 @@
 pub async fn response(
     router: &Router,
     answer: Answer,
-    fresh: Option<Reply>,
+    reply: Option<Reply>,
     deadline: Millis,
 ) -> Response {
-    let error = match (answer, fresh) {
-        (Answer::Fresh, Some(reply)) => return whole(reply),
+    let error = match (answer, reply) {
+        (Answer::Fresh, Some(reply)) => return reply_response(reply),
         (Answer::Fresh, None) => interrupted(),
-        (Answer::Stored(outcome), _) => match read(router, outcome, deadline).await {
-            Some(reply) => return whole(reply),
-            None => away(),
+        (Answer::Stored(outcome), _) => match read_stored(router, outcome, deadline).await {
+            Some(reply) => return reply_response(reply),
+            None => outcome_unavailable(),
         },
         (Answer::NotRun, _) => not_sent(),
         (Answer::Reused, _) => reused(),
-        (Answer::Unknown(doubt), _) => unknown(doubt),
+        (Answer::Unknown(reason), _) => unknown(reason),
     };
     error.response()
 }
 
 /// The answer of a backend server as a response.
-pub fn whole(answer: Reply) -> Response {
+pub fn reply_response(answer: Reply) -> Response {
     let mut response = Response::new(reply::whole(answer.body));
     *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let content = answer.content.and_then(|c| HeaderValue::from_str(&c).ok());
@@ -103,10 +103,10 @@
 }
 
 /// Reads a kept answer, if that can be done in time.
-async fn read(router: &Router, outcome: Outcome, deadline: Millis) -> Option<Reply> {
+async fn read_stored(router: &Router, outcome: Outcome, deadline: Millis) -> Option<Reply> {
     let body = match outcome.body {
         Body::Text(text) => text.into_bytes(),
-        Body::Object(name) => object(router, &name, deadline).await?,
+        Body::Object(name) => read_object(router, &name, deadline).await?,
     };
     Some(Reply {
         status: outcome.status,
@@ -116,14 +116,14 @@
 }
 
 /// Reads a body from the object store.
-async fn object(router: &Router, name: &str, deadline: Millis) -> Option<Vec<u8>> {
+async fn read_object(router: &Router, name: &str, deadline: Millis) -> Option<Vec<u8>> {
     loop {
         let value = platform(router).object(name).await.ok().flatten();
         match value.map(serde_json::from_value) {
             Some(Ok(Object::Text(text))) => return Some(text.into_bytes()),
             Some(Ok(Object::Bytes(bytes))) => return Some(bytes),
             _ if router.timer.now() >= deadline => return None,
-            _ => router.timer.after(READ_AGAIN).await,
+            _ => router.timer.after(READ_RETRY).await,
         }
     }
 }
@@ -134,14 +134,14 @@
         kind: Kind::OutcomeUnknown,
         message: "the host lost track of the call; repeat it with its key".to_owned(),
         ran: Ran::Unknown,
-        retry_after: Some(COME_BACK),
+        retry_after: Some(RETRY_AFTER_S),
     }
 }
 
 fn not_sent() -> CallerError {
     let message = "the call was not sent in time and never will be under this key; \
                    make it again under a new key";
-    CallerError::not_run(Kind::NotSent, message).retry_after(COME_BACK)
+    CallerError::not_run(Kind::NotSent, message).retry_after(RETRY_AFTER_S)
 }
 
 fn reused() -> CallerError {
@@ -149,19 +149,19 @@
     CallerError::not_run(Kind::KeyReused, message)
 }
 
-fn away() -> CallerError {
+fn outcome_unavailable() -> CallerError {
     CallerError {
         kind: Kind::OutcomeAway,
         message: "the call ran and its answer is kept, but cannot be read now; \
                   repeat it with its key"
             .to_owned(),
         ran: Ran::Ran,
-        retry_after: Some(COME_BACK),
+        retry_after: Some(RETRY_AFTER_S),
     }
 }
 
-fn unknown(doubt: UnknownReason) -> CallerError {
-    let (kind, message, retry_after) = match doubt {
+fn unknown(reason: UnknownReason) -> CallerError {
+    let (kind, message, retry_after) = match reason {
         UnknownReason::Lost => (
             Kind::OutcomeUnknown,
             "the call was sent and its answer is lost; ask the service whether it ran",
@@ -170,13 +170,13 @@
         UnknownReason::Busy => (
             Kind::OutcomeUnknown,
             "another submission of the key has not ended; repeat the call with its key",
-            Some(COME_BACK),
+            Some(RETRY_AFTER_S),
         ),
         UnknownReason::Store => (
             Kind::StoreAway,
             "this host sent nothing, but cannot read whether another did; \
              repeat the call with its key",
-            Some(COME_BACK),
+            Some(RETRY_AFTER_S),
         ),
     };
     CallerError {
--- a/crates/gooseberry-router/src/services/repeat.rs
+++ b/crates/gooseberry-router/src/services/retry.rs
@@ -20,7 +20,7 @@
 use crate::services::outcome;
 
 /// The seconds after which it helps to ask again.
-const COME_BACK: u64 = 1;
+const RETRY_AFTER_S: u64 = 1;
 
 /// The retries that the calls of each service have earned.
 #[derive(Debug, Default)]
@@ -36,9 +36,9 @@
 }
 
 /// Why a try has no answer.
-enum Missed {
+enum AttemptError {
     /// Nothing was sent.
-    Unsent(Option<BackendId>),
+    NotSent(Option<BackendId>),
     /// It may have run.
     Sent(BackendId, Failure),
 }
@@ -46,8 +46,8 @@
 /// Makes tries until one is answered.
 pub async fn run(router: &Router, job: &Job, retry: &Retry) -> Response {
     let number = router.registry.enter(&job.name);
-    let limit = Millis(retry.try_ms.max(1));
-    let mut call = Attempts::new(retry.tries, limit, job.times.deadline);
+    let time_limit = Millis(retry.try_ms.max(1));
+    let mut call = Attempts::new(retry.tries, time_limit, job.times.deadline);
     let mut ran = Ran::NotRun;
     let mut response = None;
     router
@@ -56,13 +56,13 @@
     while let Some(next) = next(router, job, &mut call) {
         match attempt(router, job, &next).await {
             Ok(reply) => {
-                response = Some(outcome::whole(reply));
+                response = Some(outcome::reply_response(reply));
                 break;
             }
-            Err(Missed::Unsent(backend)) => {
+            Err(AttemptError::NotSent(backend)) => {
                 call.record_failure(backend.unwrap_or_default(), Failure::Error);
             }
-            Err(Missed::Sent(backend, failure)) => {
+            Err(AttemptError::Sent(backend, failure)) => {
                 ran = Ran::Unknown;
                 call.record_failure(backend, failure);
             }
@@ -77,7 +77,7 @@
         let _ = router.metrics.count("calls.try_failed", 1);
     }
     router.registry.leave(number);
-    response.unwrap_or_else(|| failed(ran).response())
+    response.unwrap_or_else(|| no_answer(ran).response())
 }
 
 /// The next try, if the call has one left.
@@ -89,9 +89,9 @@
 }
 
 /// Makes one try.
-async fn attempt(router: &Router, job: &Job, next: &Attempt) -> Result<Reply, Missed> {
-    let mut placed =
-        place(router, &job.want(&next.avoid)).map_err(|_: NoBackend| Missed::Unsent(None))?;
+async fn attempt(router: &Router, job: &Job, next: &Attempt) -> Result<Reply, AttemptError> {
+    let mut placed = place(router, &job.want(&next.avoid))
+        .map_err(|_: NoBackend| AttemptError::NotSent(None))?;
     let answered = attempt_at(router, job, next, &placed.backend.seen).await;
     let now = router.timer.now();
     match answered {
@@ -106,40 +106,40 @@
     router: &Router,
     job: &Job,
     next: &Attempt,
-    seen: &BackendView,
-) -> Result<Reply, Missed> {
-    let backend = || seen.backend.clone();
-    let left = || next.deadline.since(router.timer.now()).duration();
+    view: &BackendView,
+) -> Result<Reply, AttemptError> {
+    let backend = || view.backend.clone();
+    let remaining = || next.deadline.since(router.timer.now()).duration();
     // Each try has a connection of its own, so a silent one is never used again.
-    let connection = Connection::open(seen.addr, left())
+    let connection = Connection::open(view.addr, remaining())
         .await
-        .map_err(|_| Missed::Unsent(Some(backend())))?;
-    match connection.call(job.call.clone(), left()).await {
-        Ok(reply) if is_refusal(&reply) => Err(Missed::Sent(backend(), Failure::Error)),
+        .map_err(|_| AttemptError::NotSent(Some(backend())))?;
+    match connection.call(job.call.clone(), remaining()).await {
+        Ok(reply) if is_unavailable(&reply) => Err(AttemptError::Sent(backend(), Failure::Error)),
         Ok(reply) => Ok(reply),
-        Err(CallError::Timeout { .. }) => Err(Missed::Sent(backend(), Failure::Timeout)),
-        Err(_) => Err(Missed::Sent(backend(), Failure::Error)),
+        Err(CallError::Timeout { .. }) => Err(AttemptError::Sent(backend(), Failure::Timeout)),
+        Err(_) => Err(AttemptError::Sent(backend(), Failure::Error)),
     }
 }
 
 /// Whether another server may do better.
-fn is_refusal(reply: &Reply) -> bool {
-    let refusals = [
+fn is_unavailable(reply: &Reply) -> bool {
+    let statuses = [
         StatusCode::BAD_GATEWAY,
         StatusCode::SERVICE_UNAVAILABLE,
         StatusCode::GATEWAY_TIMEOUT,
     ];
-    refusals
+    statuses
         .iter()
         .any(|status| status.as_u16() == reply.status)
 }
 
 /// The error of a call without an answer.
-fn failed(ran: Ran) -> CallerError {
+fn no_answer(ran: Ran) -> CallerError {
     CallerError {
         kind: Kind::BadGateway,
         message: "no backend server answered in time; repeat the call".to_owned(),
         ran,
-        retry_after: Some(COME_BACK),
+        retry_after: Some(RETRY_AFTER_S),
     }
 }
--- a/crates/gooseberry-router/src/services/rules.rs
+++ b/crates/gooseberry-router/src/services/rules.rs
@@ -4,7 +4,7 @@
 use service::client::Call;
 
 /// Whether the service declares that this call may be repeated.
-pub fn may_repeat(service: &Service, call: &Call) -> bool {
+pub fn is_idempotent(service: &Service, call: &Call) -> bool {
     let path = call.uri.path();
     let matches =
         |rule: &RetryRule| rule.method == call.method.as_str() && is_below(path, &rule.path);
--- a/crates/gooseberry-router/tests/agent_gone.rs
+++ b/crates/gooseberry-router/tests/agent_gone.rs
@@ -14,32 +14,36 @@
         let fleet = &fleet;
         move || async move { fleet.state(0).await["version"] == v }
     };
-    fleet.until("the change is in force", version(2)).await;
-    let answer = fleet.ask(0, "a", 20).await;
-    assert!(answer.is_whole("a", 20), "{answer:?}");
+    fleet.wait_until("the change is in force", version(2)).await;
+    let answer = fleet.complete(0, "a", 20).await;
+    assert!(answer.is_complete("a", 20), "{answer:?}");
 
     // The other agent takes the host for dead, and its new life for another one.
-    let seen = |field: &'static str| {
+    let view = |field: &'static str| {
         let fleet = &fleet;
         async move { fleet.state(1).await["hosts"][0][field].clone() }
     };
-    let before = seen("incarnation").await;
+    let before = view("incarnation").await;
     fleet
-        .until("host 0 is not relied on", || async {
-            seen("alive").await == false
+        .wait_until("host 0 is not relied on", || async {
+            view("alive").await == false
         })
         .await;
     let agent = fleet.agent(0);
     fleet
-        .until("host 0 is back", || async { seen("alive").await == true })
+        .wait_until("host 0 is back", || async { view("alive").await == true })
         .await;
-    assert_ne!(seen("incarnation").await, before);
+    assert_ne!(view("incarnation").await, before);
 
     // The router goes back to its own agent.
     let own = fleet.state(0).await["hosts"][0]["agent"].clone();
     let followed = || async { fleet.state(0).await["agent"] == own };
-    fleet.until("its own agent is followed", followed).await;
+    fleet
+        .wait_until("its own agent is followed", followed)
+        .await;
     fleet.configure(3).await;
-    fleet.until("the next change is in force", version(3)).await;
+    fleet
+        .wait_until("the next change is in force", version(3))
+        .await;
     drop(agent);
 }
--- a/crates/gooseberry-router/tests/common/mod.rs
+++ b/crates/gooseberry-router/tests/common/mod.rs
@@ -33,13 +33,13 @@
 
 /// A router with one model service and no backend server.
 pub(crate) fn router() -> Arc<Router> {
-    let nowhere: SocketAddr = ([127, 0, 0, 1], 9).into();
+    let unused: SocketAddr = ([127, 0, 0, 1], 9).into();
     let settings = serde_json::from_value(json!({
         "host": "entry-0",
         "data_centre": "vn-south-a",
-        "listen": { "callers": nowhere, "peers": nowhere, "admin": nowhere },
-        "agent": nowhere,
-        "platform": nowhere,
+        "listen": { "callers": unused, "peers": unused, "admin": unused },
+        "agent": unused,
+        "platform": unused,
     }));
     let metrics = telemetry::metrics::start("router", "entry-0", None);
     Arc::new(Router::new(
--- a/crates/gooseberry-router/tests/fleet/mod.rs
+++ b/crates/gooseberry-router/tests/fleet/mod.rs
@@ -25,20 +25,20 @@
 use store as platform_client;
 
 /// The longest wait for anything that must come true.
-const PATIENCE: Duration = Duration::from_secs(20);
+const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
 /// The time between looks.
-const LOOK: Duration = Duration::from_millis(25);
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
 /// The time limit of one call.
-const CALL: Duration = Duration::from_secs(2);
+const CALL_LIMIT: Duration = Duration::from_secs(2);
 
 /// The key of the callers and that of the operators.
 pub(crate) const BEARER: &str = "caller-key";
 pub(crate) const OPERATOR: &str = "operator-key";
 
 /// The data centre.
-const CENTRE: &str = "vn-south-a";
+const DATA_CENTRE: &str = "vn-south-a";
 
 /// A process: a runtime that can be dropped at any moment.
 pub(crate) struct Process {
@@ -61,8 +61,8 @@
         let (sender, ended) = tokio::sync::watch::channel(None);
         let running = run(stop.clone());
         runtime.spawn(async move {
-            let is_good = running.await;
-            sender.send_replace(Some(is_good));
+            let is_success = running.await;
+            sender.send_replace(Some(is_success));
         });
         let runtime = Mutex::new(Some(runtime));
         Self {
@@ -86,7 +86,7 @@
     }
 
     /// Whether the process has ended by itself, and with success.
-    pub(crate) fn has_ended(&self) -> bool {
+    pub(crate) fn has_exited(&self) -> bool {
         *self.ended.borrow() == Some(true)
     }
 }
@@ -126,7 +126,10 @@
             platform::run(listener, settings, stop).await;
             true
         });
-        let platform = Platform { addr, limit: CALL };
+        let platform = Platform {
+            addr,
+            limit: CALL_LIMIT,
+        };
         let mut fleet = Self {
             net,
             platform,
@@ -148,7 +151,7 @@
         }
         for i in 0..hosts {
             fleet
-                .until("all members are seen", || async {
+                .wait_until("all members are seen", || async {
                     let state = fleet.state(i).await;
                     let alive = |list: &Value, field: &str| {
                         let of = |v: &Value| {
@@ -212,7 +215,7 @@
     /// Starts the agent of a host.
     pub(crate) fn agent(&self, i: u8) -> Process {
         let settings = serde_json::from_value(json!({
-            "host": format!("entry-{i}"), "data_centre": CENTRE,
+            "host": format!("entry-{i}"), "data_centre": DATA_CENTRE,
             "listen": { "peers": address(self.net, 1 + i, 7004), "admin": address(self.net, 1 + i, 7005) },
             "platform": self.platform.addr, "poll_ms": 200,
             "operator_digest": key_digest(OPERATOR),
@@ -227,7 +230,7 @@
     pub(crate) fn router(&self, i: u8) -> Process {
         let at = |port| address(self.net, 1 + i, port);
         let settings = serde_json::from_value(json!({
-            "host": format!("entry-{i}"), "data_centre": CENTRE,
+            "host": format!("entry-{i}"), "data_centre": DATA_CENTRE,
             "listen": { "callers": at(7001), "peers": at(7002), "admin": at(7003) },
             "agent": at(7004), "platform": self.platform.addr,
             "operator_digest": key_digest(OPERATOR),
@@ -239,7 +242,7 @@
     }
 
     /// Puts a host or engine into the platform's list as leaving or not.
-    pub(crate) async fn list(&self, mut host: Host, leaving: bool) {
+    pub(crate) async fn set_leaving(&self, mut host: Host, leaving: bool) {
         host.leaving = leaving;
         self.platform.put_host(&host).await.expect("a list entry");
     }
@@ -253,27 +256,29 @@
     pub(crate) async fn switch(&self, i: u8, fault: &Switch) {
         let addr = address(self.net, 100 + i, 7010);
         let done: Result<Value, _> =
-            web::client::call(addr, Method::POST, "/faults", fault, CALL).await;
+            web::client::call(addr, Method::POST, "/faults", fault, CALL_LIMIT).await;
         done.expect("a switch");
     }
 
     /// The streams that an engine has started.
     pub(crate) async fn streams(&self, i: u8) -> u64 {
         let addr = address(self.net, 100 + i, 7010);
-        let stats: engine::Stats = web::client::get(addr, "/stats", CALL).await.expect("stats");
+        let stats: engine::Stats = web::client::get(addr, "/stats", CALL_LIMIT)
+            .await
+            .expect("stats");
         stats.streams
     }
 
     /// The state dump of a router, or null.
     pub(crate) async fn state(&self, i: u8) -> Value {
         let admin = address(self.net, 1 + i, 7003);
-        web::client::get(admin, "/v1/state", CALL)
+        web::client::get(admin, "/v1/state", CALL_LIMIT)
             .await
             .unwrap_or_default()
     }
 
     /// One entry of a router's list of backend servers.
-    pub(crate) async fn seen(&self, host: u8, engine: u8) -> Value {
+    pub(crate) async fn backend_view(&self, host: u8, engine: u8) -> Value {
         let state = self.state(host).await;
         let name = format!("engine-{engine}");
         let all = state["backends"].as_array().cloned().unwrap_or_default();
@@ -299,24 +304,24 @@
             let value = format!("Bearer {key}").parse().expect("a header");
             request.headers_mut().insert("authorization", value);
         }
-        let answer = web::client::send(addr, request, CALL)
+        let answer = web::client::send(addr, request, CALL_LIMIT)
             .await
             .expect("an answer");
         answer.status().as_u16()
     }
 
     /// Asks for an output through a host.
-    pub(crate) async fn ask(&self, host: u8, key: &str, tokens: u64) -> Answer {
+    pub(crate) async fn complete(&self, host: u8, key: &str, tokens: u64) -> Answer {
         let mut answer = Answer::default();
-        self.go_on(host, key, tokens, &mut answer).await;
+        self.resume(host, key, tokens, &mut answer).await;
         answer
     }
 
     /// Asks for the rest of an output through a host; what came before a break is kept.
-    pub(crate) async fn go_on(&self, host: u8, key: &str, tokens: u64, answer: &mut Answer) {
+    pub(crate) async fn resume(&self, host: u8, key: &str, tokens: u64, answer: &mut Answer) {
         let addr = address(self.net, 1 + host, 7001);
         let request = request(addr, key, tokens, answer);
-        let Ok(mut response) = web::client::send(addr, request, CALL).await else {
+        let Ok(mut response) = web::client::send(addr, request, CALL_LIMIT).await else {
             return;
         };
         answer.status = response.status().as_u16();
@@ -325,21 +330,21 @@
             let data = frame.into_data().unwrap_or_default();
             text.push_str(&String::from_utf8_lossy(&data));
             while let Some((event, rest)) = text.split_once("\n\n") {
-                answer.take(event);
+                answer.apply_event(event);
                 text = rest.to_owned();
             }
         }
     }
 
     /// Waits until something holds.
-    pub(crate) async fn until<F>(&self, what: &str, mut holds: impl FnMut() -> F)
+    pub(crate) async fn wait_until<F>(&self, what: &str, mut holds: impl FnMut() -> F)
     where
         F: Future<Output = bool>,
     {
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_LIMIT;
         while !holds().await {
             assert!(Instant::now() < deadline, "in vain: {what}");
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 }
@@ -356,7 +361,7 @@
 
 impl Answer {
     /// Takes in one event.
-    fn take(&mut self, event: &str) {
+    fn apply_event(&mut self, event: &str) {
         let field = |name: &str| event.lines().find_map(|l| l.strip_prefix(name));
         if field("event: ") == Some("restart") {
             self.restarts += 1;
@@ -372,13 +377,13 @@
     }
 
     /// Whether it is the whole output of one generation.
-    pub(crate) fn is_whole(&self, key: &str, tokens: u64) -> bool {
+    pub(crate) fn is_complete(&self, key: &str, tokens: u64) -> bool {
         let (length, _) = sequence::length(&prompt(key), tokens);
         self.is_done && sequence::check(&prompt(key), &self.text) == Ok(length)
     }
 }
 
-fn request(addr: SocketAddr, key: &str, tokens: u64, had: &Answer) -> Request<Full<Bytes>> {
+fn request(addr: SocketAddr, key: &str, tokens: u64, received: &Answer) -> Request<Full<Bytes>> {
     let body = json!({
         "model": "draft-model", "prompt": prompt(key), "max_tokens": tokens, "stream": true,
     });
@@ -389,7 +394,7 @@
     };
     put("authorization", &format!("Bearer {BEARER}"));
     put("idempotency-key", key);
-    if let Some(id) = &had.id {
+    if let Some(id) = &received.id {
         put("last-event-id", id);
     }
     request
@@ -401,20 +406,20 @@
 
 /// A listener on an address that a process has just left, perhaps.
 async fn bind(addr: SocketAddr) -> std::net::TcpListener {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_LIMIT;
     loop {
         match TcpListener::bind(addr).await {
             Ok(listener) => return listener.into_std().expect("a listener"),
             Err(e) => assert!(Instant::now() < deadline, "{addr}: {e}"),
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
 fn entry(net: u8, i: u8) -> Host {
     Host {
         name: format!("entry-{i}"),
-        data_centre: DataCentre::from(CENTRE),
+        data_centre: DataCentre::from(DATA_CENTRE),
         kind: HostKind::Entry {
             router: address(net, 1 + i, 7002),
             agent: address(net, 1 + i, 7004),
@@ -426,7 +431,7 @@
 fn backend(net: u8, i: u8) -> Host {
     Host {
         name: format!("engine-{i}"),
-        data_centre: DataCentre::from(CENTRE),
+        data_centre: DataCentre::from(DATA_CENTRE),
         kind: HostKind::Backend {
             service: ServiceName::from("draft-model"),
             addr: address(net, 100 + i, 7010),
--- a/crates/gooseberry-router/tests/host_drains.rs
+++ b/crates/gooseberry-router/tests/host_drains.rs
@@ -19,29 +19,29 @@
         let length = state["requests"][0]["state"]["length"].as_u64();
         length.is_some_and(|l| l > 20) && fleet.witness(host).await.is_some()
     };
-    fleet.until("the request runs", runs).await;
+    fleet.wait_until("the request runs", runs).await;
     fleet.witness(host).await.unwrap_or(host)
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn streams_end_before_the_host_does() {
     let fleet = Fleet::start(3, 2, 2).await;
-    let long = fleet.ask(0, "long", LONG);
+    let long = fleet.complete(0, "long", LONG);
     let stopping = async {
         witness(&fleet, 0).await;
         fleet.routers[0].terminate();
         let leaves = || async { fleet.state(1).await["hosts"][0]["leaving"] == true };
-        fleet.until("the other host knows", leaves).await;
-        let refused = fleet.ask(0, "new", 5).await;
+        fleet.wait_until("the other host knows", leaves).await;
+        let refused = fleet.complete(0, "new", 5).await;
         assert_eq!(refused.status, 503, "{refused:?}");
-        let other = fleet.ask(1, "new", 5).await;
-        assert!(other.is_whole("new", 5), "{other:?}");
+        let other = fleet.complete(1, "new", 5).await;
+        assert!(other.is_complete("new", 5), "{other:?}");
     };
     let (answer, ()) = tokio::join!(long, stopping);
-    assert!(answer.is_whole("long", LONG), "{answer:?}");
+    assert!(answer.is_complete("long", LONG), "{answer:?}");
     assert_eq!(answer.restarts, 0);
-    let ended = || async { fleet.routers[0].has_ended() && fleet.agents[0].has_ended() };
-    fleet.until("router and agent have ended", ended).await;
+    let ended = || async { fleet.routers[0].has_exited() && fleet.agents[0].has_exited() };
+    fleet.wait_until("router and agent have ended", ended).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -50,21 +50,21 @@
     let mut answer = Answer::default();
     let mut left = 0;
     tokio::select! {
-        () = fleet.go_on(0, "kept", LONG, &mut answer) => {}
+        () = fleet.resume(0, "kept", LONG, &mut answer) => {}
         () = async {
             left = witness(&fleet, 0).await;
             assert_eq!(fleet.drain(left, ROUTER, Some(OPERATOR)).await, 202);
             let i = usize::from(left);
-            let ended = || async { fleet.routers[i].has_ended() && fleet.agents[i].has_ended() };
-            fleet.until("the witness has ended", ended).await;
+            let ended = || async { fleet.routers[i].has_exited() && fleet.agents[i].has_exited() };
+            fleet.wait_until("the witness has ended", ended).await;
             assert_ne!(witness(&fleet, 0).await, left);
             fleet.routers[0].kill();
         } => {}
     }
     assert!(!answer.is_done, "the stream was to outlast the witness");
     // The owner has died; the host that is left has the journal.
-    fleet.go_on(3 - left, "kept", LONG, &mut answer).await;
-    assert!(answer.is_whole("kept", LONG), "{answer:?}");
+    fleet.resume(3 - left, "kept", LONG, &mut answer).await;
+    assert!(answer.is_complete("kept", LONG), "{answer:?}");
     assert_eq!(answer.restarts, 0, "the journal was lost");
 }
 
@@ -74,7 +74,7 @@
     let mut answer = Answer::default();
     let mut left = 0;
     tokio::select! {
-        () = fleet.go_on(0, "orphan", LONG, &mut answer) => {}
+        () = fleet.resume(0, "orphan", LONG, &mut answer) => {}
         () = async {
             left = witness(&fleet, 0).await;
             fleet.routers[0].kill();
@@ -83,10 +83,10 @@
     }
     assert_eq!(fleet.drain(left, AGENT, Some(OPERATOR)).await, 202);
     let i = usize::from(left);
-    let ended = || async { fleet.routers[i].has_ended() && fleet.agents[i].has_ended() };
-    fleet.until("the witness has ended", ended).await;
-    fleet.go_on(3 - left, "orphan", LONG, &mut answer).await;
-    assert!(answer.is_whole("orphan", LONG), "{answer:?}");
+    let ended = || async { fleet.routers[i].has_exited() && fleet.agents[i].has_exited() };
+    fleet.wait_until("the witness has ended", ended).await;
+    fleet.resume(3 - left, "orphan", LONG, &mut answer).await;
+    assert!(answer.is_complete("orphan", LONG), "{answer:?}");
     assert_eq!(answer.restarts, 0, "the journal was lost");
 }
 
@@ -97,6 +97,6 @@
         assert_eq!(fleet.drain(0, port, None).await, 401);
         assert_eq!(fleet.drain(0, port, Some(BEARER)).await, 401);
     }
-    let answer = fleet.ask(0, "a", 5).await;
-    assert!(answer.is_whole("a", 5), "{answer:?}");
+    let answer = fleet.complete(0, "a", 5).await;
+    assert!(answer.is_complete("a", 5), "{answer:?}");
 }
--- a/crates/gooseberry-router/tests/journal_holders.rs
+++ b/crates/gooseberry-router/tests/journal_holders.rs
@@ -50,7 +50,7 @@
 }
 
 #[tokio::test]
-async fn witness_asked() {
+async fn witness_among_holders() {
     let routers: Vec<Router> = (0..CENTRES.len()).map(router).collect();
     for n in 0..KEYS {
         let key = RequestKey(format!("drafts/{n}"));
@@ -59,8 +59,8 @@
             for other in &routers {
                 let asked: Vec<HostId> = other.holders(&key).into_iter().map(|h| h.host).collect();
                 let is_known = |w: &&HostId| **w == other.settings.host || asked.contains(w);
-                let missed: Vec<_> = witnesses.iter().filter(|w| !is_known(w)).collect();
-                assert!(missed.is_empty(), "{key} not asked: {missed:?}");
+                let missing: Vec<_> = witnesses.iter().filter(|w| !is_known(w)).collect();
+                assert!(missing.is_empty(), "{key} not asked: {missing:?}");
             }
         }
     }
--- a/crates/gooseberry-router/tests/late_start.rs
+++ b/crates/gooseberry-router/tests/late_start.rs
@@ -15,9 +15,9 @@
 use tokio::net::TcpListener;
 
 /// A router whose only engine takes connections and never answers.
-async fn before_a_mute_engine() -> (Arc<Router>, TcpListener) {
+async fn router_with_unresponsive_engine() -> (Arc<Router>, TcpListener) {
     let listener = TcpListener::bind(("127.0.0.1", 0)).await.expect("a port");
-    let seen = BackendView {
+    let view = BackendView {
         backend: BackendId::from("mute"),
         service: ServiceName::from("draft-model"),
         data_centre: DataCentre::from("vn-south-a"),
@@ -40,18 +40,18 @@
     configure(&router);
     let configured = router.snapshot();
     router.swap(Snapshot {
-        backends: vec![Arc::new(Backend::adopt(Millis(0), seen, &[]))],
+        backends: vec![Arc::new(Backend::adopt(Millis(0), view, &[]))],
         ..(*configured).clone()
     });
     (router, listener)
 }
 
 #[tokio::test]
-async fn mute_engine() {
-    let (router, _listener) = before_a_mute_engine().await;
+async fn unresponsive_engine() {
+    let (router, _listener) = router_with_unresponsive_engine().await;
     let body = json!({ "model": "draft-model", "prompt": "Scene 1", "max_tokens": 5 });
-    let asked = request("POST", "/v1/completions", body.to_string());
-    let answer = send(&router, asked).await;
+    let completion = request("POST", "/v1/completions", body.to_string());
+    let answer = send(&router, completion).await;
     assert_eq!(
         answer.status,
         StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/gooseberry-router/tests/once_calls.rs
+++ b/crates/gooseberry-router/tests/once_calls.rs
@@ -4,7 +4,7 @@
 
 use gooseberry_standin::faults::Switch;
 use hyper::Method;
-use site::{Fake, Manner, Site, document, nowhere, runs, stand_in};
+use site::{Behaviour, Fake, Site, document, runs, stand_in, unused_address};
 use tokio_util::sync::CancellationToken;
 
 /// A deadline that no answer of these tests needs.
@@ -70,7 +70,7 @@
 }
 
 #[tokio::test]
-async fn lost_claim() {
+async fn claim_answer_lost() {
     let stop = CancellationToken::new();
     let server = stand_in(&stop).await;
     let site = Site::start(1, &[server], &document(LONG)).await;
@@ -79,8 +79,8 @@
         ..Switch::default()
     };
     site.switch(lose).await;
-    let seen = site.confirm(0, "k").await;
-    assert_eq!(seen.status, 200);
+    let answer = site.confirm(0, "k").await;
+    assert_eq!(answer.status, 200);
     assert_eq!(runs(server, "k").await, 1);
 }
 
@@ -94,19 +94,19 @@
         ..Switch::default()
     };
     site.switch(outage(true)).await;
-    let given = site.confirm(0, "given").await;
+    let chosen = site.confirm(0, "given").await;
     assert_eq!(
-        (given.status, &given.json()["kind"]),
+        (chosen.status, &chosen.json()["kind"]),
         (503, &"store_away".into())
     );
     // Another host may have run the key: it is not for this one to say that it did not run.
-    assert_eq!(given.json()["ran"], "unknown");
-    assert!(given.headers.contains_key("retry-after"));
-    let minted = site.confirm(0, "").await;
-    assert_eq!(minted.status, 200);
+    assert_eq!(chosen.json()["ran"], "unknown");
+    assert!(chosen.headers.contains_key("retry-after"));
+    let generated = site.confirm(0, "").await;
+    assert_eq!(generated.status, 200);
     site.switch(outage(false)).await;
     assert_eq!(runs(server, "given").await, 0);
-    assert_eq!(runs(server, &minted.key()).await, 1);
+    assert_eq!(runs(server, &generated.key()).await, 1);
     // What was refused runs when it is repeated.
     let again = site.confirm(0, "given").await;
     assert_eq!(again.status, 200);
@@ -114,7 +114,7 @@
 }
 
 #[tokio::test]
-async fn minted_key() {
+async fn generated_key() {
     let stop = CancellationToken::new();
     let server = stand_in(&stop).await;
     let site = Site::start(2, &[server], &document(SHORT)).await;
@@ -130,9 +130,9 @@
 }
 
 #[tokio::test]
-async fn dying_server() {
+async fn server_disconnects() {
     let fake = Fake::default();
-    let server = fake.serve(Manner::Die).await;
+    let server = fake.serve(Behaviour::Disconnect).await;
     let site = Site::start(2, &[server, server], &document(SHORT)).await;
     let first = site.confirm(0, "k").await;
     let second = site.confirm(1, "k").await;
@@ -144,7 +144,7 @@
 #[tokio::test]
 async fn late_answer() {
     let fake = Fake::default();
-    let server = fake.serve(Manner::Late(5_000)).await;
+    let server = fake.serve(Behaviour::SlowFirst(5_000)).await;
     let site = Site::start(1, &[server], &document(SHORT)).await;
     let late = site.confirm(0, "late").await;
     let other = site.confirm(0, "other").await;
@@ -157,14 +157,14 @@
 #[tokio::test]
 async fn no_server() {
     let stop = CancellationToken::new();
-    let site = Site::start(2, &[nowhere().await], &document(SHORT)).await;
+    let site = Site::start(2, &[unused_address().await], &document(SHORT)).await;
     let refused = site.confirm(0, "k").await;
     assert_eq!(refused.json()["kind"], "not_sent");
     assert_eq!(refused.json()["ran"], "not_run");
     // The key stays refused, also where a server is at hand.
     let server = stand_in(&stop).await;
-    let whole = Site::start(1, &[server], &document(SHORT)).await;
-    assert_eq!(whole.confirm(0, "k").await.status, 200);
+    let reachable = Site::start(1, &[server], &document(SHORT)).await;
+    assert_eq!(reachable.confirm(0, "k").await.status, 200);
     let again = site.confirm(1, "k").await;
     assert_eq!(again.json()["ran"], "not_run");
 }
@@ -173,7 +173,7 @@
 async fn other_server() {
     let stop = CancellationToken::new();
     let server = stand_in(&stop).await;
-    let site = Site::start(1, &[nowhere().await, server], &document(LONG)).await;
+    let site = Site::start(1, &[unused_address().await, server], &document(LONG)).await;
     for i in 0..6 {
         assert_eq!(site.confirm(0, &format!("k{i}")).await.status, 200);
     }
@@ -185,10 +185,10 @@
     let server = stand_in(&stop).await;
     let site = Site::start(1, &[server], &document(LONG)).await;
     site.routers[0].drain.cancel();
-    let given = site.confirm(0, "k").await;
-    let minted = site.confirm(0, "").await;
-    assert_eq!(given.json()["ran"], "unknown");
-    assert_eq!(minted.json()["ran"], "not_run");
+    let chosen = site.confirm(0, "k").await;
+    let generated = site.confirm(0, "").await;
+    assert_eq!(chosen.json()["ran"], "unknown");
+    assert_eq!(generated.json()["ran"], "not_run");
 }
 
 #[tokio::test]
@@ -198,8 +198,8 @@
     let site = Site::start(1, &[server], &document(LONG)).await;
     let keys: Vec<String> = (0..200).map(|i| format!("k{i}")).collect();
     let calls = keys.iter().map(|key| site.confirm(0, key));
-    let seen = futures_util::future::join_all(calls).await;
-    assert!(seen.iter().all(|s| s.status == 200));
+    let answers = futures_util::future::join_all(calls).await;
+    assert!(answers.iter().all(|a| a.status == 200));
     let transactions = site.routers[0].claims.dump()["transactions"].as_u64();
     assert!(transactions.is_some_and(|t| t < 100), "{transactions:?}");
 }
--- a/crates/gooseberry-router/tests/repeat_calls.rs
+++ b/crates/gooseberry-router/tests/repeat_calls.rs
@@ -4,7 +4,7 @@
 mod site;
 
 use hyper::Method;
-use site::{Fake, Manner, Site, document, nowhere, runs, stand_in};
+use site::{Behaviour, Fake, Site, document, runs, stand_in, unused_address};
 use tokio_util::sync::CancellationToken;
 
 /// A deadline that no answer of these tests needs.
@@ -14,43 +14,46 @@
 async fn other_server() {
     let stop = CancellationToken::new();
     let fake = Fake::default();
-    let dying = fake.serve(Manner::Die).await;
+    let failing = fake.serve(Behaviour::Disconnect).await;
     let server = stand_in(&stop).await;
-    let site = Site::start(1, &[dying, server], &document(LONG)).await;
+    let site = Site::start(1, &[failing, server], &document(LONG)).await;
     for i in 0..6 {
-        let seen = site
+        let answer = site
             .call(0, Method::GET, "/status/7", &format!("k{i}"), "")
             .await;
-        assert_eq!(seen.status, 200);
+        assert_eq!(answer.status, 200);
         assert_eq!(runs(server, &format!("k{i}")).await, 1);
     }
     assert!(!fake.ran.lock().expect("a list").is_empty());
 }
 
 #[tokio::test]
-async fn silent_server() {
+async fn unresponsive_server() {
     let fake = Fake::default();
-    let server = fake.serve(Manner::Late(60_000)).await;
+    let server = fake.serve(Behaviour::SlowFirst(60_000)).await;
     let site = Site::start(1, &[server], &document(LONG)).await;
-    let seen = site.call(0, Method::GET, "/status", "k", "").await;
-    assert_eq!((seen.status, seen.text.as_str()), (200, "k"));
+    let answer = site.call(0, Method::GET, "/status", "k", "").await;
+    assert_eq!((answer.status, answer.text.as_str()), (200, "k"));
     assert_eq!(*fake.ran.lock().expect("a list"), ["k", "k"]);
     assert_eq!(*fake.closed.lock().expect("a list"), ["k"]);
 }
 
 #[tokio::test]
-async fn never_sent() {
-    let site = Site::start(1, &[nowhere().await], &document(400)).await;
-    let seen = site.call(0, Method::GET, "/status", "", "").await;
-    assert_eq!((seen.status, &seen.json()["ran"]), (502, &"not_run".into()));
-    assert!(seen.headers.contains_key("retry-after"));
+async fn no_reachable_server() {
+    let site = Site::start(1, &[unused_address().await], &document(400)).await;
+    let answer = site.call(0, Method::GET, "/status", "", "").await;
+    assert_eq!(
+        (answer.status, &answer.json()["ran"]),
+        (502, &"not_run".into())
+    );
+    assert!(answer.headers.contains_key("retry-after"));
 }
 
 #[tokio::test]
-async fn undeclared_paths() {
+async fn paths_not_declared() {
     let fake = Fake::default();
-    let dying = fake.serve(Manner::Die).await;
-    let site = Site::start(1, &[dying], &document(LONG)).await;
+    let failing = fake.serve(Behaviour::Disconnect).await;
+    let site = Site::start(1, &[failing], &document(LONG)).await;
     let calls = [
         (Method::POST, "/status"),
         (Method::GET, "/statuses"),
@@ -59,8 +62,8 @@
         (Method::GET, "/other"),
     ];
     for (i, (method, path)) in calls.into_iter().enumerate() {
-        let seen = site.call(0, method, path, &format!("k{i}"), "").await;
-        assert_eq!(seen.json()["ran"], "unknown", "{path}");
+        let answer = site.call(0, method, path, &format!("k{i}"), "").await;
+        assert_eq!(answer.json()["ran"], "unknown", "{path}");
     }
     // Each was sent once: none of them may repeat.
     let ran = fake.ran.lock().expect("a list").clone();
--- a/crates/gooseberry-router/tests/resume_target.rs
+++ b/crates/gooseberry-router/tests/resume_target.rs
@@ -22,7 +22,7 @@
 }
 
 fn backend(name: &str, centre: &str, blocks: Vec<u64>) -> Arc<Backend> {
-    let seen = BackendView {
+    let view = BackendView {
         backend: BackendId(name.to_owned()),
         service: ServiceName::from("draft-model"),
         data_centre: DataCentre::from(centre),
@@ -37,7 +37,7 @@
         age_ms: 0,
         blocks,
     };
-    Arc::new(Backend::adopt(Millis(0), seen, &[]))
+    Arc::new(Backend::adopt(Millis(0), view, &[]))
 }
 
 /// A router in data centre `vn-south-a` that knows these backend servers.
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn far_beyond_cap() {
+fn resume_cap_spills_over() {
     let near = backend("near", "vn-south-a", Vec::new());
     let far = backend("far", "vn-south-b", Vec::new());
     let router = router(vec![near, far]);
@@ -82,10 +82,10 @@
 }
 
 #[test]
-fn suspect_passed_over() {
+fn suspect_skipped() {
     let failed = backend("failed", "vn-south-a", Vec::new());
-    let sound = backend("sound", "vn-south-b", Vec::new());
-    let router = router(vec![failed.clone(), sound]);
+    let healthy = backend("sound", "vn-south-b", Vec::new());
+    let router = router(vec![failed.clone(), healthy]);
     failed.suspect(router.timer.now());
     assert_eq!(resume(&router, &[], Mode::Latency).0, "sound");
     failed.trust();
@@ -95,11 +95,11 @@
 #[test]
 fn cached_preferred() {
     let blocks = prompt_blocks(&prompt());
-    let mut held: Vec<u64> = blocks.iter().copied().filter(|b| is_sampled(*b)).collect();
-    held.sort_unstable();
-    assert!(!held.is_empty());
+    let mut cached: Vec<u64> = blocks.iter().copied().filter(|b| is_sampled(*b)).collect();
+    cached.sort_unstable();
+    assert!(!cached.is_empty());
     let empty = backend("empty", "vn-south-a", Vec::new());
-    let holder = backend("holder", "vn-south-b", held);
+    let holder = backend("holder", "vn-south-b", cached);
     let router = router(vec![empty, holder.clone()]);
     assert_eq!(resume(&router, &blocks, Mode::Latency).0, "empty");
     assert_eq!(resume(&router, &blocks, Mode::Cost).0, "holder");
--- a/crates/gooseberry-router/tests/server_leaves.rs
+++ b/crates/gooseberry-router/tests/server_leaves.rs
@@ -13,8 +13,8 @@
     let before = fleet.streams(0).await;
     for i in 0..12 {
         let key = format!("{name}-{i}");
-        let answer = fleet.ask(i % 2, &key, 5).await;
-        assert!(answer.is_whole(&key, 5), "{answer:?}");
+        let answer = fleet.complete(i % 2, &key, 5).await;
+        assert!(answer.is_complete(&key, 5), "{answer:?}");
     }
     fleet.streams(0).await - before
 }
@@ -26,49 +26,49 @@
         let name = format!("{name}-{}", round.fetch_add(1, Ordering::Relaxed));
         streams_on_first(fleet, &name).await > 0
     };
-    fleet.until("engine 0 takes work", started).await;
+    fleet.wait_until("engine 0 takes work", started).await;
 }
 
-async fn is_known(fleet: &Fleet, leaving: bool) {
+async fn wait_until_known(fleet: &Fleet, leaving: bool) {
     for host in 0..2 {
-        let seen = || async {
-            let seen = fleet.seen(host, 0).await;
-            seen["leaving"] == leaving && seen["alive"] == true
+        let is_reported = || async {
+            let view = fleet.backend_view(host, 0).await;
+            view["leaving"] == leaving && view["alive"] == true
         };
-        fleet.until("both routers know", seen).await;
+        fleet.wait_until("both routers know", is_reported).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn list_and_report_and_new_life() {
+async fn leaving_in_list_in_report_and_restarted() {
     let mut fleet = Fleet::start(2, 2, 2).await;
     takes_work(&fleet, "before").await;
 
     // The list says so and the engine denies it.
-    fleet.list(fleet.backend(0), true).await;
-    is_known(&fleet, true).await;
+    fleet.set_leaving(fleet.backend(0), true).await;
+    wait_until_known(&fleet, true).await;
     assert_eq!(streams_on_first(&fleet, "listed").await, 0);
 
     // The list takes it back, and the engine goes on leaving.
-    fleet.list(fleet.backend(0), false).await;
+    fleet.set_leaving(fleet.backend(0), false).await;
     tokio::time::sleep(std::time::Duration::from_secs(1)).await;
     assert_eq!(streams_on_first(&fleet, "denied").await, 0);
 
     // A new life under the same address takes work again.
-    let old = fleet.seen(0, 0).await["incarnation"].clone();
+    let old = fleet.backend_view(0, 0).await["incarnation"].clone();
     fleet.engines[0].kill();
     fleet.engines[0] = fleet.engine(0).await;
-    is_known(&fleet, false).await;
-    assert_ne!(fleet.seen(0, 0).await["incarnation"], old);
+    wait_until_known(&fleet, false).await;
+    assert_ne!(fleet.backend_view(0, 0).await["incarnation"], old);
     takes_work(&fleet, "again").await;
 
     // The engine says so, and takes it back.
-    let leaving = |word| Switch {
-        leaving: Some(word),
+    let leaving = |value| Switch {
+        leaving: Some(value),
         ..Switch::default()
     };
     fleet.switch(0, &leaving(true)).await;
-    is_known(&fleet, true).await;
+    wait_until_known(&fleet, true).await;
     fleet.switch(0, &leaving(false)).await;
     tokio::time::sleep(std::time::Duration::from_secs(1)).await;
     assert_eq!(streams_on_first(&fleet, "reported").await, 0);
--- a/crates/gooseberry-router/tests/site/mod.rs
+++ b/crates/gooseberry-router/tests/site/mod.rs
@@ -28,7 +28,7 @@
 pub(crate) const LIMIT: Duration = Duration::from_secs(20);
 
 /// The data centre of everything.
-const HERE: &str = "vn-south-a";
+const DATA_CENTRE: &str = "vn-south-a";
 
 /// A deployment; its servers end with it.
 pub(crate) struct Site {
@@ -46,13 +46,13 @@
 
 /// An answer as a caller sees it.
 #[derive(Clone, Debug)]
-pub(crate) struct Seen {
+pub(crate) struct CallAnswer {
     pub(crate) status: u16,
     pub(crate) headers: HeaderMap,
     pub(crate) text: String,
 }
 
-impl Seen {
+impl CallAnswer {
     pub(crate) fn json(&self) -> Value {
         serde_json::from_str(&self.text).unwrap_or(Value::Null)
     }
@@ -93,7 +93,7 @@
     async fn add_router(&mut self, i: usize, backends: &[SocketAddr], document: &Document) {
         let settings = json!({
             "host": format!("entry-{i}"),
-            "data_centre": HERE,
+            "data_centre": DATA_CENTRE,
             "listen": { "callers": "127.0.0.1:1", "peers": "127.0.0.1:1", "admin": "127.0.0.1:1" },
             "agent": "127.0.0.1:1",
             "platform": self.platform,
@@ -102,13 +102,13 @@
         let settings = serde_json::from_value(settings).expect("settings");
         let metrics = telemetry::metrics::start("router", "test", None).expect("metrics");
         let router = Arc::new(Router::new(settings, Timer::start(), metrics));
-        let seen = |(n, addr): (usize, &SocketAddr)| {
+        let adopt = |(n, addr): (usize, &SocketAddr)| {
             Arc::new(Backend::adopt(Millis(0), backend(n, *addr), &[]))
         };
         router.swap(Snapshot {
             document: Arc::new(document.clone()),
             hosts: vec![host(i)],
-            backends: backends.iter().enumerate().map(seen).collect(),
+            backends: backends.iter().enumerate().map(adopt).collect(),
             drain: false,
             agent: None,
         });
@@ -132,7 +132,7 @@
         path: &str,
         key: &str,
         body: &str,
-    ) -> Seen {
+    ) -> CallAnswer {
         let addr = self.callers[router];
         let mut request = Request::builder()
             .method(method)
@@ -150,7 +150,7 @@
             .expect("an answer");
         let (parts, body) = response.into_parts();
         let bytes = body.collect().await.expect("a whole body").to_bytes();
-        Seen {
+        CallAnswer {
             status: parts.status.as_u16(),
             headers: parts.headers,
             text: String::from_utf8_lossy(&bytes).into_owned(),
@@ -158,7 +158,7 @@
     }
 
     /// Confirms a booking: a call that may not repeat.
-    pub(crate) async fn confirm(&self, router: usize, key: &str) -> Seen {
+    pub(crate) async fn confirm(&self, router: usize, key: &str) -> CallAnswer {
         self.call(router, Method::POST, "/confirm", key, "gaffer, Tuesday")
             .await
     }
@@ -199,27 +199,27 @@
 
 /// What a [`Fake`] does with a call that it ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Manner {
+pub(crate) enum Behaviour {
     /// Closes the connection.
-    Die,
+    Disconnect,
     /// Answers the first call after so many milliseconds, the others at once.
-    Late(u64),
+    SlowFirst(u64),
 }
 
 impl Fake {
     /// Serves for as long as the test runs.
-    pub(crate) async fn serve(&self, manner: Manner) -> SocketAddr {
+    pub(crate) async fn serve(&self, behaviour: Behaviour) -> SocketAddr {
         let (listener, addr) = listen().await;
         let fake = self.clone();
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(fake.clone().connection(stream, manner));
+                tokio::spawn(fake.clone().connection(stream, behaviour));
             }
         });
         addr
     }
 
-    async fn connection(self, mut stream: TcpStream, manner: Manner) {
+    async fn connection(self, mut stream: TcpStream, behaviour: Behaviour) {
         let mut head = vec![0; 4_096];
         loop {
             let Ok(count @ 1..) = stream.read(&mut head).await else {
@@ -233,9 +233,9 @@
                 ran.push(key.clone());
                 ran.len() == 1
             };
-            match manner {
-                Manner::Die => return,
-                Manner::Late(ms) if is_first => {
+            match behaviour {
+                Behaviour::Disconnect => return,
+                Behaviour::SlowFirst(ms) if is_first => {
                     let mut byte = [0];
                     let wait =
                         tokio::time::timeout(Duration::from_millis(ms), stream.read(&mut byte));
@@ -244,7 +244,7 @@
                         return;
                     }
                 }
-                Manner::Late(_) => {}
+                Behaviour::SlowFirst(_) => {}
             }
             let answer = format!(
                 "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{key}",
@@ -271,7 +271,7 @@
 }
 
 /// An address where nothing listens.
-pub(crate) async fn nowhere() -> SocketAddr {
+pub(crate) async fn unused_address() -> SocketAddr {
     let (listener, addr) = listen().await;
     drop(listener);
     addr
@@ -284,12 +284,12 @@
 }
 
 fn host(i: usize) -> HostView {
-    let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
+    let unused = SocketAddr::from(([127, 0, 0, 1], 1));
     HostView {
         host: HostId(format!("entry-{i}")),
-        data_centre: DataCentre::from(HERE),
-        router: nowhere,
-        agent: nowhere,
+        data_centre: DataCentre::from(DATA_CENTRE),
+        router: unused,
+        agent: unused,
         incarnation: None,
         leaving: false,
         alive: true,
@@ -300,7 +300,7 @@
     BackendView {
         backend: BackendId(format!("booking-{n}")),
         service: ServiceName::from("booking-app"),
-        data_centre: DataCentre::from(HERE),
+        data_centre: DataCentre::from(DATA_CENTRE),
         addr,
         incarnation: None,
         leaving: false,
--- a/crates/gooseberry-router/tests/slow_caller.rs
+++ b/crates/gooseberry-router/tests/slow_caller.rs
@@ -24,11 +24,11 @@
 
 /// The most tokens that the router takes while nobody reads: its window and what its buffers and the
 /// pipe hold, each token being an event of some 150 bytes.
-const MOST_HELD: u64 = 2_000;
+const MAX_HELD: u64 = 2_000;
 
 /// The time between two looks at the engine, and how many there are at most.
-const LOOK: Duration = Duration::from_millis(100);
-const LOOKS: u32 = 300;
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+const MAX_POLLS: u32 = 300;
 
 /// The prompt.
 const PROMPT: &str = "Scene 2";
@@ -47,7 +47,7 @@
 }
 
 fn backend(addr: std::net::SocketAddr) -> Arc<Backend> {
-    let seen = BackendView {
+    let view = BackendView {
         backend: BackendId::from("engine-0"),
         service: ServiceName::from("draft-model"),
         data_centre: DataCentre::from("vn-south-a"),
@@ -62,11 +62,11 @@
         age_ms: 0,
         blocks: Vec::new(),
     };
-    Arc::new(Backend::adopt(Millis(0), seen, &[]))
+    Arc::new(Backend::adopt(Millis(0), view, &[]))
 }
 
 /// A router before that engine, whose profile allows long outputs.
-fn before(addr: std::net::SocketAddr) -> Arc<Router> {
+fn router_with_engine(addr: std::net::SocketAddr) -> Arc<Router> {
     let router = router();
     configure(&router);
     let configured = router.snapshot();
@@ -81,7 +81,7 @@
 }
 
 /// The tokens that the router has taken for its only request.
-fn taken(router: &Router) -> u64 {
+fn received_tokens(router: &Router) -> u64 {
     let dump = router.registry.dump();
     dump.first()
         .and_then(|r| r["state"]["length"].as_u64())
@@ -89,33 +89,35 @@
 }
 
 /// Waits until the engine has given so many tokens.
-async fn until_given(addr: std::net::SocketAddr, tokens: u64) {
-    for _ in 0..LOOKS {
-        let stats: Value = web::client::get(addr, "/stats", LOOK).await.expect("stats");
+async fn wait_for_tokens(addr: std::net::SocketAddr, tokens: u64) {
+    for _ in 0..MAX_POLLS {
+        let stats: Value = web::client::get(addr, "/stats", POLL_INTERVAL)
+            .await
+            .expect("stats");
         if stats["decode"] == tokens {
             return;
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     panic!("the engine did not give {tokens} tokens");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn bounded_and_whole() {
+async fn bounded_and_complete() {
     let (addr, _stop) = engine().await;
-    let router = before(addr);
+    let router = router_with_engine(addr);
     let body = json!({
         "model": "draft-model", "prompt": PROMPT, "max_tokens": TOKENS, "stream": true,
     });
     let mut sender = connect(&router).await;
-    let asked = request("POST", "/v1/completions", body.to_string());
-    let mut response = sender.send_request(asked).await.expect("a head comes");
+    let completion = request("POST", "/v1/completions", body.to_string());
+    let mut response = sender.send_request(completion).await.expect("a head comes");
 
     // Nobody reads until the engine has given everything.
     let (length, _) = sequence::length(PROMPT, TOKENS);
-    until_given(addr, length).await;
-    let held = taken(&router);
-    assert!(held < MOST_HELD, "the router took {held} tokens");
+    wait_for_tokens(addr, length).await;
+    let held = received_tokens(&router);
+    assert!(held < MAX_HELD, "the router took {held} tokens");
 
     let mut text = String::new();
     while let Some(frame) = response.body_mut().frame().await {
