--- a/crates/gooseberry-router/src/admin.rs
+++ b/crates/gooseberry-router/src/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' entry of a router.
+//! HTTP interface of a router for operators: state dump, readiness and drain.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 
 use crate::context::Router;
 
-/// Answers one request.
+/// Answers one request of an operator.
 pub async fn handle(router: Arc<Router>, request: Request<Incoming>) -> Response {
     if request.method() == Method::POST && request.uri().path() == "/v1/drain" {
         return drain(&router, &request);
@@ -19,14 +19,14 @@
     answered.unwrap_or_else(|| not_found(&request))
 }
 
-/// Has the host take no new work, if an operator asks for it.
+/// Starts draining the host, if the request carries the operator key.
 fn drain(router: &Router, request: &Request<Incoming>) -> Response {
     let settings = &router.settings;
     let digest = settings.operator_digest.as_deref();
     if let Some(refused) = refusal(&settings.host, digest, request) {
         return refused;
     }
-    log::info!("drain asked for by an operator host={}", settings.host);
+    log::info!("drain requested by an operator host={}", settings.host);
     router.drain.cancel();
     let state = json!({
         "host": settings.host,
@@ -45,7 +45,7 @@
     }
 }
 
-/// All that the router believes.
+/// State dump of the router.
 fn state(router: &Router) -> Value {
     let snapshot = router.snapshot();
     let (journals, bytes) = router.shelf.size();
--- a/crates/gooseberry-router/src/auth.rs
+++ b/crates/gooseberry-router/src/auth.rs
@@ -1,4 +1,4 @@
-//! The workspace of a request, from its bearer key.
+//! Authentication: finds the workspace of a request by its bearer key.
 
 use base::hash::key_digest;
 use hyper::HeaderMap;
@@ -7,11 +7,11 @@
 
 use crate::errors::{CallerError, Kind};
 
-/// The workspace whose bearer key stands in the headers.
+/// Returns the workspace whose bearer key is in the headers.
 ///
 /// # Errors
 ///
-/// `Unauthorized` if there is none.
+/// `Unauthorized` if the key is missing or unknown.
 pub fn workspace<'a>(
     document: &'a Document,
     headers: &HeaderMap,
@@ -25,7 +25,7 @@
         return Err(CallerError::not_run(Kind::Unauthorized, message));
     };
     document.workspace(&key_digest(bearer)).ok_or_else(|| {
-        let message = "the bearer key is not known; ask an operator for one";
+        let message = "unknown bearer key; ask an operator for a valid one";
         CallerError::not_run(Kind::Unauthorized, message)
     })
 }
--- a/crates/gooseberry-router/src/claims.rs
+++ b/crates/gooseberry-router/src/claims.rs
@@ -1,4 +1,4 @@
-//! The writes of claims and outcomes to the platform's table, many in one transaction.
+//! Batched writes of claims and outcomes to the platform's table.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -18,13 +18,13 @@
 
 use crate::context::Router;
 
-/// One write and where its verdict goes.
+/// A write and the channel for its verdict.
 struct QueuedWrite {
     write: Write,
     verdict_sender: oneshot::Sender<Verdict>,
 }
 
-/// The way to the task that writes.
+/// Queue of writes to the task that runs [`write()`], with its counters.
 #[derive(Debug)]
 pub struct Claims {
     sender: mpsc::UnboundedSender<QueuedWrite>,
@@ -50,13 +50,13 @@
 }
 
 impl Claims {
-    /// A token that no other submission has.
+    /// Returns an owner that is unique to one submission.
     pub fn owner(&self, router: Incarnation) -> Owner {
         let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         Owner { router, number }
     }
 
-    /// Writes a row, or takes it away.
+    /// Writes a row, or deletes it if `record` is `None`; waits for the verdict.
     pub async fn put(&self, key: String, expected: Expected, record: Option<Record>) -> Verdict {
         let (verdict_sender, verdict) = oneshot::channel();
         let write = Write {
@@ -78,13 +78,13 @@
         verdict.await.unwrap_or(Verdict::Unconfirmed)
     }
 
-    /// The receiving end; the task that writes takes it once.
+    /// Takes the receiving end of the queue; `None` after the first call.
     fn take_receiver(&self) -> Option<mpsc::UnboundedReceiver<QueuedWrite>> {
         let mut receiver = self.receiver.lock().unwrap_or_else(|e| e.into_inner());
         receiver.take()
     }
 
-    /// What was written, for a state dump.
+    /// Counters for the state dump.
     pub fn dump(&self) -> Value {
         json!({
             "submissions": self.next_number.load(Ordering::Relaxed),
@@ -95,7 +95,7 @@
     }
 }
 
-/// The router's client of the platform.
+/// Creates a client of the platform.
 pub fn platform(router: &Router) -> Platform {
     Platform {
         addr: router.settings.platform,
@@ -103,7 +103,7 @@
     }
 }
 
-/// Reads the row at `key`.
+/// Reads the row at `key`; [`Verdict::Unconfirmed`] if that fails.
 pub async fn read_row(router: &Router, key: &str) -> Verdict {
     let rows = platform(router).read(vec![key.to_owned()]).await;
     match rows.map(|rows| rows.into_iter().next().flatten()) {
@@ -116,7 +116,7 @@
     }
 }
 
-/// Writes for ever.
+/// Writes queued rows in batches until the queue is closed.
 pub async fn write(router: Arc<Router>) {
     let Some(mut items) = router.claims.take_receiver() else {
         return;
@@ -128,14 +128,14 @@
     loop {
         let now = router.timer.now();
         if batcher.due() <= now {
-            // What a submission has given up must not take effect much later.
+            // A write that its submission no longer awaits must not take effect much later.
             waiting.retain(|_, verdict_sender| !verdict_sender.is_closed());
             batcher.withdraw(|ticket| waiting.get(&ticket).is_some());
         }
         while let Some((number, writes)) = batcher.next(now) {
             let (router, reply_sender) = (router.clone(), reply_sender.clone());
             tokio::spawn(async move {
-                // The receiver lives as long as the process.
+                // The receiver is dropped only when the process ends.
                 let _ = reply_sender.send((number, transact(&router, writes).await));
             });
         }
@@ -150,7 +150,7 @@
             Some((number, reply)) = replies.recv() => {
                 for (ticket, verdict) in batcher.reply(router.timer.now(), number, reply) {
                     if let Some(verdict_sender) = waiting.remove(&ticket) {
-                        // A submission that no longer waits has other work by now.
+                        // The submission may have stopped waiting for the verdict.
                         let _ = verdict_sender.send(verdict);
                     }
                 }
@@ -162,14 +162,14 @@
     }
 }
 
-/// Carries out one transaction.
+/// Runs one transaction and reports its metrics.
 async fn transact(router: &Router, writes: Vec<Write>) -> Reply {
     let start = router.timer.now();
     let count = writes.len() as u64;
     let ops = writes.into_iter().map(op).collect();
     let answer = platform(router).transact(&Transact { ops }).await;
     router.claims.transactions.fetch_add(1, Ordering::Relaxed);
-    // Metrics that cannot be sent are no concern of the caller.
+    // A metric that cannot be sent must not affect the request.
     let _ = router.metrics.count("claims.transactions", 1);
     let _ = router.metrics.gauge("claims.batch", count);
     let _ = router
@@ -178,7 +178,7 @@
     reply(router, answer)
 }
 
-/// What an answer of the platform means for the batch.
+/// Converts the answer of the platform to the result of the transaction.
 fn reply(router: &Router, answer: Result<Outcome, CallError>) -> Reply {
     match answer {
         Ok(Outcome::Committed(versions)) => Reply::Committed(versions),
@@ -190,7 +190,7 @@
             router.claims.failures.fetch_add(1, Ordering::Relaxed);
             let _ = router.metrics.count("claims.failures", 1);
             log::warn!(
-                "claims not certain host={} cause=\"{cause}\"",
+                "claim writes unconfirmed host={} cause=\"{cause}\"",
                 router.settings.host
             );
             Reply::Unconfirmed
@@ -198,7 +198,7 @@
     }
 }
 
-/// A row that did not meet its condition; `None` if it is not of this system's shape.
+/// Converts a row that failed its condition; `None` if its value is not a [`Record`].
 fn conflicting_row(found: Found) -> Option<(usize, Option<VersionedRecord>)> {
     match found.row {
         None => Some((found.index, None)),
@@ -206,7 +206,7 @@
     }
 }
 
-/// Reads a row.
+/// Parses a row; `None` if its value is not a [`Record`].
 pub fn parse_row(row: Row) -> Option<VersionedRecord> {
     let record = serde_json::from_value(row.value).ok()?;
     Some(VersionedRecord {
@@ -215,7 +215,7 @@
     })
 }
 
-/// The platform's shape of a write.
+/// Converts a write to an operation of the platform.
 fn op(write: Write) -> Op {
     let expect = match write.expected {
         Expected::Absent => Expect::Absent,
--- a/crates/gooseberry-router/src/config.rs
+++ b/crates/gooseberry-router/src/config.rs
@@ -1,4 +1,6 @@
-//! What the agent told, in force on the request path by an atomic swap of pointers.
+//! Configuration, hosts and backend servers, as last received from an agent.
+//!
+//! The request path reads them as one immutable [`Snapshot`], which is replaced atomically.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,34 +15,34 @@
 use crate::backends::Backend;
 use crate::context::Router;
 
-/// How long the agent may hold back an answer without news, in milliseconds.
+/// Time that the agent may delay its answer while nothing has changed (long polling).
 const LONG_POLL_WAIT: Millis = Millis(1_000);
 
-/// How long to wait for an agent beyond that.
+/// Time limit of a call to an agent; covers [`LONG_POLL_WAIT`].
 const CALL_LIMIT: Duration = Duration::from_millis(2_000);
 
-/// The time between tries when no agent answers.
+/// Delay after a failed call to an agent.
 const RETRY_DELAY: Millis = Millis(250);
 
-/// The configuration, the hosts and the backend servers as they are in force.
+/// Configuration, hosts and backend servers in force at one time.
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
-    /// The configuration; version 0 if there is none.
+    /// Configuration; version 0 if none has been received.
     pub document: Arc<Document>,
-    /// The entry hosts.
+    /// Entry hosts.
     pub hosts: Vec<HostView>,
-    /// The backend servers.
+    /// Backend servers.
     pub backends: Vec<Arc<Backend>>,
-    /// Whether this host is to take no new work.
+    /// Whether this host is to accept no new work.
     pub drain: bool,
-    /// The agent that told all this.
+    /// Agent that sent this state; `None` before the first answer.
     pub agent: Option<SocketAddr>,
 }
 
-/// How long another agent is followed before this host's own is tried again.
+/// Interval between tries of this host's own agent while another one is followed.
 const OWN_AGENT_INTERVAL: Millis = Millis(5_000);
 
-/// Follows the agent for ever: that of this host, else another of the data centre.
+/// Long-polls the agent of this host or, while it does not answer, another one of the data centre.
 pub async fn follow(router: Arc<Router>) {
     let own = router.settings.agent;
     let mut link = AgentLink::new(own);
@@ -65,7 +67,10 @@
                 apply_view(&router, view, link.addr());
             }
             Err(e) => {
-                log::warn!("agent lost host={} cause=\"{e}\"", router.settings.host);
+                log::warn!(
+                    "agent did not answer host={} cause=\"{e}\"",
+                    router.settings.host
+                );
                 router.timer.after(RETRY_DELAY).await;
                 link = AgentLink::new(other_agent(&router, &link));
                 revision = 0;
@@ -75,26 +80,29 @@
     }
 }
 
-/// A link to the agent of this host, if it answers again.
+/// Returns a link to the agent of this host, if it answers and its configuration is not older.
 async fn own_agent(router: &Router) -> Option<AgentLink> {
     let link = AgentLink::new(router.settings.agent);
     let version = router.snapshot().document.version;
     let view = link.view(0, version, Millis(0), CALL_LIMIT).await.ok()?;
-    // An agent that has just started knows less than the one that is followed.
+    // An agent that has just started may have an older configuration than the one in force.
     (view.version >= version).then_some(link)
 }
 
-/// Tells the agent of this host that the host leaves.
+/// Reports to the agent of this host that the host is leaving.
 pub async fn report_leaving(router: &Router) {
     let link = AgentLink::new(router.settings.agent);
     if let Err(e) = link.leave(CALL_LIMIT).await {
-        // The host list and the refusals of this router tell the others as well.
-        log::warn!("agent not told host={} cause=\"{e}\"", router.settings.host);
+        // Others also learn it from the host list and from the requests that this router refuses.
+        log::warn!(
+            "agent not notified that the host is leaving host={} cause=\"{e}\"",
+            router.settings.host
+        );
     }
 }
 
-/// The agent to ask after `failed`: this host's own if another failed, else the next one of the
-/// data centre.
+/// Selects the agent to use after `failed`: this host's own if another one failed, else a random
+/// one of the data centre, preferably of a host that is alive and not leaving.
 fn other_agent(router: &Router, failed: &AgentLink) -> SocketAddr {
     let own = router.settings.agent;
     if failed.addr() != own {
@@ -113,7 +121,7 @@
     candidates[i].agent
 }
 
-/// Puts the view of an agent into force; a document of a lower version is never taken.
+/// Replaces the snapshot by the view of an agent; a document of a lower version is never applied.
 fn apply_view(router: &Router, view: View, agent: SocketAddr) {
     let own = view.hosts.iter().find(|h| h.host == router.settings.host);
     let drain = if agent == router.settings.agent {
--- a/crates/gooseberry-router/src/drain.rs
+++ b/crates/gooseberry-router/src/drain.rs
@@ -1,5 +1,5 @@
-//! The planned stop of a router: no new work, its journals go to other hosts, requests in flight
-//! end.
+//! Graceful shutdown of a router: it refuses new work, transfers its journals to other hosts and
+//! waits for the requests in flight.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,25 +12,26 @@
 use crate::config;
 use crate::context::Router;
 
-/// The time between looks at what a planned stop still waits for.
+/// Interval between checks whether requests are still in flight.
 const POLL_INTERVAL: Millis = Millis(50);
 
-/// How many hosts are given each journal; one of them may be that of the request's owner, which
-/// has it already.
+/// Number of hosts that each journal is transferred to. One of them may be the owner of the
+/// request, which has the journal already.
 const COPIES: usize = 2;
 
-/// How many journals are on their way at once.
+/// Maximum number of concurrent transfers.
 const MAX_TRANSFERS: usize = 16;
 
-/// The longest wait for a host to take a journal.
+/// Time limit of one call to a host.
 const CALL_LIMIT: Duration = Duration::from_millis(2_000);
 
-/// How long a router that has handed all over still answers for its journals.
+/// Time for which the router still answers calls about its journals after the last transfer.
 const LINGER: Millis = Millis(300);
 
-/// Takes no new work, hands the journals over and waits for the requests in flight.
+/// Refuses new work, transfers the journals and waits for the requests in flight, at most for
+/// `drain_ms` of the settings.
 pub async fn run(router: &Arc<Router>) {
-    log::info!("router leaves host={}", router.settings.host);
+    log::info!("router draining host={}", router.settings.host);
     router.drain.cancel();
     router.shelf.leave();
     config::report_leaving(router).await;
@@ -43,7 +44,7 @@
     router.timer.after(LINGER).await;
 }
 
-/// Gives all journals to other hosts, but for those of the sorted `own` requests, which have a
+/// Transfers all journals except those of `in_flight` (sorted), whose requests run here and have a
 /// witness.
 async fn transfer_journals(router: &Arc<Router>, in_flight: &[RequestKey]) {
     let keys = router.shelf.keys().into_iter();
@@ -60,7 +61,7 @@
     );
 }
 
-/// Gives one journal to the first hosts that take it; returns whether one has it.
+/// Transfers a journal to the first [`COPIES`] hosts that accept it; returns whether any did.
 async fn transfer(router: &Router, copy: JournalCopy) -> bool {
     let mut holders = 0;
     for host in router.witnesses(&copy.append.key) {
@@ -79,7 +80,7 @@
     holders > 0
 }
 
-/// Gives a journal and its seal to one host; returns whether it need not be given to it again.
+/// Transfers a journal and its seal to one host; returns whether the host counts as a holder.
 async fn transfer_to(router: &Router, host: &HostId, copy: &JournalCopy) -> bool {
     let Some(addr) = router.address(host) else {
         return false;
@@ -92,7 +93,7 @@
     let appended = answer.ok().and_then(|results| results.into_iter().next());
     match appended {
         Some(Ok(_)) => {}
-        // A takeover was there before and has asked this host too.
+        // A takeover has sealed the journal there and has also queried this host.
         Some(Err(Refusal::Sealed(_))) => return true,
         Some(Err(_)) | None => return false,
     }
@@ -103,7 +104,7 @@
         return sealed.is_ok();
     }
     if copy.closed {
-        // Without this call the journal is kept a little longer.
+        // If this call fails, the host only keeps the journal a little longer.
         let _ = peer.link.close(key, epoch, CALL_LIMIT).await;
     }
     true
--- a/crates/gooseberry-router/src/errors.rs
+++ b/crates/gooseberry-router/src/errors.rs
@@ -1,4 +1,4 @@
-//! What a caller is told when a request is not answered.
+//! Errors returned to callers.
 
 use hyper::StatusCode;
 use hyper::header::{HeaderValue, RETRY_AFTER};
@@ -10,20 +10,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ran {
-    /// Certainly not, and it never will be.
+    /// It was not run and never will be.
     NotRun,
-    /// Yes.
+    /// It was run.
     Ran,
-    /// It may have been.
+    /// It may have been run.
     Unknown,
 }
 
-/// The kind of an error.
+/// Kind of an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Display, IntoStaticStr)]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Kind {
-    /// The body is not as expected.
+    /// The body or a header is invalid.
     Malformed,
     /// The body is too large.
     TooLarge,
@@ -33,44 +33,44 @@
     NotFound,
     /// The method is not allowed here.
     MethodNotAllowed,
-    /// The key was used for another request.
+    /// The key was used for a different request.
     KeyReused,
-    /// The host takes no requests now.
+    /// The host does not accept requests now.
     NotReady,
-    /// There is no room within the deadline.
+    /// There is no capacity within the deadline.
     Overloaded,
-    /// The output could not be continued.
+    /// The output was interrupted and could not be resumed.
     Lost,
-    /// The request goes on elsewhere.
+    /// Another router or connection has taken over the request.
     Superseded,
     /// It is not known whether the call ran.
     OutcomeUnknown,
     /// The call could not be sent in time.
     NotSent,
-    /// The platform's table gives no certain answer.
+    /// The platform's table did not confirm whether the call ran.
     StoreAway,
-    /// The outcome is kept and cannot be read now.
+    /// The stored outcome cannot be read now.
     OutcomeAway,
     /// The backend server gave no usable answer.
     BadGateway,
 }
 
-/// The body of every error.
+/// Body of every error response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct CallerError {
-    /// The kind.
+    /// Kind, which determines the HTTP status.
     pub kind: Kind,
-    /// What happened and what to do.
+    /// What happened and how to proceed.
     pub message: String,
     /// Whether the request was run.
     pub ran: Ran,
-    /// The seconds after which to come back, where that helps.
+    /// Seconds after which to retry; `None` if a retry does not help.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after: Option<u64>,
 }
 
 impl CallerError {
-    /// An error of a request that was not run.
+    /// Creates an error for a request that was not run.
     pub fn not_run(kind: Kind, message: impl Into<String>) -> Self {
         Self {
             kind,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Says when to come back.
+    /// Sets the time after which to retry, in seconds.
     pub fn retry_after(self, seconds: u64) -> Self {
         Self {
             retry_after: Some(seconds),
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The status that goes with the kind.
+    /// HTTP status of the kind.
     pub fn status(&self) -> StatusCode {
         match self.kind {
             Kind::Malformed => StatusCode::BAD_REQUEST,
@@ -108,7 +108,7 @@
         }
     }
 
-    /// The error as a whole response.
+    /// Converts the error to a response.
     pub fn response(&self) -> Response {
         let mut response = reply::json(self.status(), self);
         if let Some(seconds) = self.retry_after {
--- a/crates/gooseberry-router/src/http.rs
+++ b/crates/gooseberry-router/src/http.rs
@@ -1,4 +1,4 @@
-//! The callers' entry.
+//! HTTP interface for callers.
 
 use std::sync::Arc;
 
@@ -22,7 +22,7 @@
         Ok(response) => response,
         Err(error) => {
             let name = format!("refused.{}", error.kind);
-            // Metrics that cannot be sent are no concern of the caller.
+            // A metric that cannot be sent must not affect the request.
             let _ = router.metrics.count(&name, 1);
             error.response()
         }
@@ -33,7 +33,7 @@
     let path = request.uri().path();
     if path == "/v1/completions" {
         if request.method() != Method::POST {
-            let message = "completions are asked for by POST";
+            let message = "/v1/completions accepts only POST requests";
             return Err(CallerError::not_run(Kind::MethodNotAllowed, message));
         }
         return completions::handle(router, request).await;
@@ -41,6 +41,6 @@
     if path.starts_with(services::PREFIX) {
         return services::handle(router, request).await;
     }
-    let message = format!("there is nothing at {path}; try /v1/completions or /v1/services");
+    let message = format!("no such path: {path}; use /v1/completions or /v1/services");
     Err(CallerError::not_run(Kind::NotFound, message))
 }
--- a/crates/gooseberry-router/src/lib.rs
+++ b/crates/gooseberry-router/src/lib.rs
@@ -1,7 +1,7 @@
-//! The router of an entry host: takes the requests of callers, runs them on backend servers and
-//! keeps their output whole.
+//! Router of an entry host: accepts requests of callers, runs them on backend servers and resumes
+//! their output after failures.
 //!
-//! The decisions are made in the pure crates; this one carries them out.
+//! The decisions are made by state machines without I/O in other crates; this one performs the I/O.
 
 pub mod admin;
 pub mod admit;
--- a/crates/gooseberry-router/src/main.rs
+++ b/crates/gooseberry-router/src/main.rs
@@ -1,4 +1,4 @@
-//! `gooseberry-router`: the router of an entry host.
+//! The `gooseberry-router` program.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -7,7 +7,7 @@
 use settings::router::Router as Settings;
 use telemetry::daemon;
 
-/// The name of the program in its messages.
+/// Program name in messages.
 const PROGRAM: &str = "gooseberry-router";
 
 /// The router of an entry host: takes the requests of callers and runs them on backend servers.
--- a/crates/gooseberry-router/src/run.rs
+++ b/crates/gooseberry-router/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts the parts of a router and stops them in order.
+//! Starts the tasks of a router and stops them in order.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,31 +19,31 @@
 use crate::services::clear;
 use crate::{admin, admit, claims, config, drain, http, stream};
 
-/// The time between looks for journals that have been held long enough.
+/// Interval between checks for expired journals.
 const EXPIRE_INTERVAL: Millis = Millis(1_000);
 
-/// How long callers may take to read the rest of answers that have ended here.
+/// Time limit for callers to read the rest of finished responses during shutdown.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Why a router cannot start.
+/// Reason why a router cannot start.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// An address cannot be had.
+    /// An address cannot be bound.
     #[error("cannot listen on {addr}: {cause}; correct `{place}` in the settings")]
     Listen {
-        /// The address.
+        /// Address from the settings.
         addr: SocketAddr,
-        /// The path in the settings.
+        /// Path of the address in the settings.
         place: &'static str,
-        /// The cause given by the system.
+        /// Error returned by the operating system.
         cause: std::io::Error,
     },
-    /// Metrics cannot be sent.
+    /// The metrics client cannot be set up.
     #[error(transparent)]
     Metrics(#[from] telemetry::metrics::MetricsError),
 }
 
-/// Runs a router until `stop` is cancelled, or its host leaves, and the requests in flight have
+/// Runs a router until `stop` is cancelled or its host drains, and the requests in flight have
 /// ended.
 ///
 /// # Errors
@@ -86,7 +86,7 @@
     }
     drain::run(&router).await;
     end.cancel();
-    // A task that failed has nothing left to wait for.
+    // Neither a timeout nor a panic of the task leaves anything to wait for.
     let _ = timeout(FLUSH_TIMEOUT, serving_callers).await;
     serving_operators.abort();
     for task in loops {
@@ -118,14 +118,14 @@
     peer::serve::router(listener, stop, server).await;
 }
 
-/// Drops old journals and ends the engine streams that they leave behind.
+/// Evicts expired journals and cancels the engine streams that they leave without an owner.
 async fn expire(router: Arc<Router>) {
     let mut ticks = router.timer.every(EXPIRE_INTERVAL);
     loop {
         let now = ticks.next().await;
         for orphan in router.shelf.expire(now) {
             log::warn!(
-                "stream without owner cancelled key={} host={} stream={}",
+                "cancelling engine stream without owner key={} host={} stream={}",
                 orphan.key,
                 router.settings.host,
                 orphan.stream.name
--- a/crates/gooseberry-router/src/services.rs
+++ b/crates/gooseberry-router/src/services.rs
@@ -1,4 +1,6 @@
-//! `/v1/services/<service>/<path>`: calls to plain services.
+//! Calls to plain services: `/v1/services/<service>/<path>`.
+//!
+//! Idempotent calls are retried ([`retry`]); all others are sent at most once per key ([`once`]).
 
 pub mod clear;
 pub mod job;
@@ -24,16 +26,16 @@
 use crate::errors::{CallerError, Kind, Ran};
 use crate::services::job::Job;
 
-/// What the paths of calls start with.
+/// Path prefix of calls.
 pub const PREFIX: &str = "/v1/services/";
 
-/// The header with the version of the configuration under which an answer was made.
+/// Response header with the version of the configuration that applied to the call.
 const VERSION_HEADER: &str = "gooseberry-version";
 
-/// The header that tells a backend server the workspace of a call.
+/// Request header that names the workspace of a call to the backend server.
 const WORKSPACE_HEADER: HeaderName = HeaderName::from_static("gooseberry-workspace");
 
-/// Answers one call.
+/// Runs one call and returns its response.
 ///
 /// # Errors
 ///
@@ -92,9 +94,9 @@
     Ok(response)
 }
 
-/// The error of a host that takes no requests.
+/// Returns the error for a request that arrives while the host accepts none.
 ///
-/// A call whose key the caller chose may have run through another host.
+/// A call with a key may already have been run through another host, so its `ran` is unknown.
 pub fn not_ready<T>(request: &Request<T>, reason: &str) -> CallerError {
     let error = CallerError::not_run(Kind::NotReady, reason).retry_after(1);
     let is_call = request.uri().path().starts_with(PREFIX);
@@ -107,7 +109,7 @@
     error
 }
 
-/// The service that a path names, its profile, and the rest of the path.
+/// Resolves a call path to the service, its profile and the URI to request from the backend server.
 fn resolve<'a>(
     document: &'a Document,
     uri: &Uri,
@@ -133,7 +135,7 @@
     }
 }
 
-/// The headers that reach the backend server; [`Job::new`] adds the key.
+/// Returns the headers to forward to the backend server; [`Job::new`] adds the key.
 fn forwarded_headers(headers: &HeaderMap, workspace: &str) -> HeaderMap {
     let mut forwarded = HeaderMap::new();
     for name in [ACCEPT, CONTENT_TYPE] {
--- a/crates/gooseberry-router/src/services/clear.rs
+++ b/crates/gooseberry-router/src/services/clear.rs
@@ -1,7 +1,8 @@
-//! The clearing of rows whose time of keeping is over.
+//! Deletion of call rows whose retention period has expired.
 //!
-//! The rows are divided into parts, and each part is cleared by one host of those alive. Two hosts
-//! that clear the same part do no harm: a row is taken away only at the version that was read.
+//! The rows are partitioned, and rendezvous hashing assigns each partition to one live host. Two
+//! hosts that scan the same partition do no harm: a row is deleted only at the version that was
+//! read.
 
 use std::sync::Arc;
 
@@ -15,13 +16,13 @@
 use crate::context::Router;
 use crate::services::job::wall_ms;
 
-/// The time between two reads of the table.
+/// Delay between two reads of the table.
 const SCAN_INTERVAL: Millis = Millis(1_000);
 
-/// The most rows in one read.
+/// Maximum number of rows in one read.
 const PAGE_ROWS: usize = 500;
 
-/// Clears for ever.
+/// Scans the partitions of this host forever.
 pub async fn run(router: Arc<Router>) {
     loop {
         for part in 0..PARTITIONS {
@@ -34,7 +35,7 @@
     }
 }
 
-/// Whether this host clears `part`.
+/// Whether partition `part` is assigned to this host.
 fn is_assigned(router: &Router, part: u64) -> bool {
     let snapshot = router.snapshot();
     let key = partition_prefix(part);
@@ -43,7 +44,7 @@
     assigned.is_some_and(|h| h.host == router.settings.host)
 }
 
-/// Clears the rows of one part.
+/// Deletes the expired rows of one partition.
 pub async fn clear_part(router: &Router, part: u64) {
     let mut after = String::new();
     loop {
@@ -52,7 +53,7 @@
             Ok(None) => return,
             Err(cause) => {
                 log::warn!(
-                    "old calls not cleared host={} part={part} cause=\"{cause}\"",
+                    "expired call rows not deleted host={} part={part} cause=\"{cause}\"",
                     router.settings.host
                 );
                 return;
@@ -62,7 +63,7 @@
     }
 }
 
-/// Clears one page; returns the key after which the next begins, if there is one.
+/// Deletes the expired rows of one page; returns its last key, or `None` if it is the last page.
 async fn clear_page(
     router: &Router,
     prefix: String,
@@ -91,13 +92,13 @@
         });
     }
     if !ops.is_empty() {
-        // A row that changed meanwhile keeps the page for the next round.
+        // If a row changed since the read, the whole transaction fails, and the next scan retries.
         platform(router).transact(&Transact { ops }).await?;
     }
     Ok(last.filter(|_| !is_last))
 }
 
-/// Takes away the body that a row names.
+/// Deletes the stored body that a row refers to, if any.
 async fn delete_object(router: &Router, stored: &VersionedRecord) -> Result<(), CallError> {
     if let State::Done(outcome) = &stored.record.state
         && let Body::Object(name) = &outcome.body
--- a/crates/gooseberry-router/src/services/job.rs
+++ b/crates/gooseberry-router/src/services/job.rs
@@ -1,4 +1,4 @@
-//! One submission of a call: what is sent, under which key, and until when.
+//! Parameters of one submission of a call: the request, its key and its time limits.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -13,42 +13,42 @@
 use crate::caller::KEY_HEADER;
 use crate::context::Router;
 
-/// The part of the deadline that is kept for making sure that a call is not sent: one in so many.
+/// Divisor of the deadline that gives the time reserved for cancelling a call that was not sent.
 const RESERVE_DIVISOR: u64 = 4;
 
-/// The most that is kept, in milliseconds.
+/// Maximum time reserved for the cancellation, in milliseconds.
 const MAX_RESERVE_MS: u64 = 1_000;
 
-/// A row is kept for at least so many deadlines, so that no submission outlives it.
+/// Minimum retention of a row, in deadlines, so that no submission outlives its row.
 const MIN_RETAIN_DEADLINES: u64 = 2;
 
 /// One submission of a call.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// The service.
+    /// Name of the called service.
     pub service: ServiceName,
-    /// The profile under which it runs.
+    /// Profile of the service.
     pub profile: Profile,
-    /// The key as the caller knows it.
+    /// Idempotency key, as supplied by or returned to the caller.
     pub key: String,
-    /// The name of the call in logs and dumps.
+    /// Identifies the call in logs and dumps: `<service>/<workspace>/<key>`.
     pub name: RequestKey,
-    /// The row that keeps the claim and the outcome.
+    /// Key of the table row that stores the claim and the outcome.
     pub row: String,
-    /// Where the key comes from.
+    /// Origin of the key.
     pub origin: KeyOrigin,
-    /// What makes two submissions of a key the same.
+    /// Hash of the method, URI and body; submissions of one key must agree on it.
     pub digest: u64,
-    /// What is sent.
+    /// Request to the backend server.
     pub call: Call,
-    /// Until when.
+    /// Time limits.
     pub times: Times,
-    /// How long the row is kept, in milliseconds.
+    /// Retention period of the row, in milliseconds.
     pub retain_ms: u64,
 }
 
 impl Job {
-    /// A submission that arrived at `arrived`; without a key it gets one.
+    /// Creates a submission that arrived at `arrived`; generates a key if the caller supplied none.
     #[expect(
         clippy::too_many_arguments,
         reason = "each comes from another part of the request or configuration"
@@ -90,7 +90,7 @@
         }
     }
 
-    /// What a backend server must be to get the call.
+    /// Requirements on the backend server; those in `avoid` are selected only if there is no other.
     pub fn want<'a>(&'a self, avoid: &'a [BackendId]) -> Want<'a> {
         Want {
             service: &self.service,
@@ -102,13 +102,13 @@
         }
     }
 
-    /// The time after which the row may be cleared, in milliseconds since 1970.
+    /// Time after which the row may be deleted, in milliseconds since the Unix epoch.
     pub fn until_ms(&self) -> u64 {
         wall_ms().saturating_add(self.retain_ms)
     }
 }
 
-/// The time of day, in milliseconds since 1970.
+/// Wall-clock time, in milliseconds since the Unix epoch.
 pub fn wall_ms() -> u64 {
     let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
     elapsed.map_or(0, |d| u64::try_from(d.as_millis()).unwrap_or(u64::MAX))
@@ -122,7 +122,7 @@
     }
 }
 
-/// A key that no other submission has.
+/// Generates a key that no other submission uses.
 fn generate_key(router: &Router) -> String {
     let number: u64 = rand::random();
     format!(
--- a/crates/gooseberry-router/src/services/once.rs
+++ b/crates/gooseberry-router/src/services/once.rs
@@ -1,4 +1,4 @@
-//! Carries out the decisions on a call that may not repeat.
+//! Runs a non-idempotent call: performs the actions of its [`Submission`] state machine.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -20,23 +20,23 @@
 use crate::services::job::Job;
 use crate::services::outcome;
 
-/// The longest wait for a connection; it may be tried again, as nothing was sent.
+/// Time limit for a connection; another server may be tried after it, as nothing was sent.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What the caller is told, with the answer that was just received.
+/// Answer to the caller, with the reply of the server if this submission received one.
 struct CallResult {
     answer: Answer,
     reply: Option<Reply>,
 }
 
-/// What came of one action.
+/// Result of one action.
 struct StepResult {
     event: Event,
-    /// The server and the connection, after [`Action::SelectServer`].
+    /// The selected server and the connection to it, after [`Action::SelectServer`].
     target: Option<(Placed, Connection)>,
-    /// A server that could not be reached.
+    /// The server to which no connection could be made.
     failed: Option<BackendId>,
-    /// The answer of the server, after [`Action::Send`].
+    /// The reply of the server, after [`Action::Send`].
     reply: Option<Reply>,
 }
 
@@ -51,25 +51,25 @@
     }
 }
 
-/// What one action needs of those before it.
+/// Results of earlier actions that an action needs.
 #[derive(Default)]
 struct StepInput {
-    /// The server and the connection to send on.
+    /// The selected server and the connection to send on.
     target: Option<(Placed, Connection)>,
-    /// The servers that could not be reached.
+    /// Servers to which no connection could be made.
     avoid: Vec<BackendId>,
-    /// The answer that is to be kept.
+    /// The reply to store.
     reply: Option<Reply>,
 }
 
-/// What all actions of one submission need.
+/// Data shared by all actions of one submission.
 struct Context {
     router: Arc<Router>,
     job: Job,
     owner: Owner,
 }
 
-/// Runs one submission; it goes on if its caller leaves.
+/// Runs one submission, which continues in its own task if the caller disconnects.
 pub async fn run(router: &Arc<Router>, job: Job) -> Response {
     let (result_sender, result) = oneshot::channel();
     let deadline = job.times.deadline;
@@ -85,7 +85,7 @@
     }
 }
 
-/// Feeds the state machine and carries out what it decides.
+/// Feeds events to the state machine and performs its actions until it is over.
 async fn drive(context: Arc<Context>, result_sender: oneshot::Sender<CallResult>) {
     let (router, job) = (&context.router, &context.job);
     let number = router.registry.enter(&job.name);
@@ -118,7 +118,7 @@
                 log_answer(&context, &answer);
                 let reply = input.reply.clone();
                 if let Some(result_sender) = result_sender.take() {
-                    // The caller may have left; its outcome is stored all the same.
+                    // The caller may have disconnected; the outcome is stored nevertheless.
                     let _ = result_sender.send(CallResult { answer, reply });
                 }
                 continue;
@@ -132,14 +132,14 @@
         }
         if before == Phase::Claiming && submission.phase() == Phase::Holding {
             let took = router.timer.now().since(start).0;
-            // Metrics that cannot be sent are no concern of the caller.
+            // A metric that cannot be sent must not affect the request.
             let _ = router.metrics.time("claims.claim", took);
         }
     }
     router.registry.leave(number);
 }
 
-/// Waits for the work under way, or for ever if there is none.
+/// Waits for the action in progress, or forever if there is none.
 async fn finished<F: Future<Output = StepResult>>(work: &mut Option<Pin<Box<F>>>) -> StepResult {
     match work {
         Some(work) => work.await,
@@ -147,7 +147,7 @@
     }
 }
 
-/// Logs and counts what a caller is told.
+/// Logs and counts the answer to the caller.
 fn log_answer(context: &Context, answer: &Answer) {
     let (router, job) = (&context.router, &context.job);
     let (name, is_failure) = match answer {
@@ -157,7 +157,7 @@
         Answer::NotRun => ("not_run", true),
         Answer::Unknown(reason) => (reason.into(), true),
     };
-    // Metrics that cannot be sent are no concern of the caller.
+    // A metric that cannot be sent must not affect the request.
     let _ = router.metrics.count(&format!("calls.{name}"), 1);
     let level = if is_failure {
         log::Level::Warn
@@ -173,7 +173,7 @@
     );
 }
 
-/// Carries out one action.
+/// Performs one action.
 async fn perform(context: Arc<Context>, action: Action, input: StepInput) -> StepResult {
     let (router, job) = (&context.router, &context.job);
     match action {
@@ -202,7 +202,10 @@
     }
 }
 
-/// Chooses a server and connects to it, so that nothing but the call itself follows the check.
+/// Selects a server and connects to it.
+///
+/// The connection is opened before the final check of the time limit, so that only the call itself
+/// remains to be sent after it.
 async fn select_server(router: &Router, job: &Job, avoid: &[BackendId]) -> StepResult {
     let Ok(mut placed) = place(router, &job.want(avoid)) else {
         return Event::NoServer.into();
@@ -215,7 +218,7 @@
         },
         Err(cause) => {
             log::warn!(
-                "backend server not reached key={} host={} backend={} cause=\"{cause}\"",
+                "cannot connect to backend server key={} host={} backend={} cause=\"{cause}\"",
                 job.name,
                 router.settings.host,
                 view.backend
@@ -230,7 +233,7 @@
     }
 }
 
-/// Sends the call.
+/// Sends the call and waits for the reply until the deadline.
 async fn send(context: &Context, target: Option<(Placed, Connection)>) -> StepResult {
     let (router, job) = (&context.router, &context.job);
     let Some((mut placed, connection)) = target else {
@@ -249,7 +252,7 @@
         Err(cause) => {
             placed.failed(router.timer.now());
             log::warn!(
-                "call lost key={} host={} backend={} cause=\"{cause}\"",
+                "no usable answer to call key={} host={} backend={} cause=\"{cause}\"",
                 job.name,
                 router.settings.host,
                 placed.backend.seen.backend
@@ -259,7 +262,7 @@
     }
 }
 
-/// The event of a verdict.
+/// Converts the result of a table access to an event.
 fn verdict_event(verdict: Verdict) -> Event {
     match verdict {
         Verdict::Committed(version) => Event::Committed(version),
--- a/crates/gooseberry-router/src/services/outcome.rs
+++ b/crates/gooseberry-router/src/services/outcome.rs
@@ -1,4 +1,4 @@
-//! The answers of backend servers as they are kept, and what callers are told.
+//! Stored replies of backend servers, and the responses to callers.
 
 use base::hash::stable;
 use base::prelude::*;
@@ -15,26 +15,26 @@
 use crate::errors::{CallerError, Kind, Ran};
 use crate::services::job::Job;
 
-/// The largest body kept in a row, in bytes; a larger one goes to the object store.
+/// Largest text body stored in a row, in bytes; larger and binary ones go to the object store.
 const MAX_ROW_BYTES: usize = 8 * 1024;
 
-/// The wait before an object is read again.
+/// Delay before a failed read of an object is retried.
 const READ_RETRY: Millis = Millis(100);
 
-/// The seconds after which it helps to ask again.
+/// Value of `retry-after`, in seconds.
 const RETRY_AFTER_S: u64 = 1;
 
 /// A body in the object store.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum Object {
-    /// It is text.
+    /// A body in UTF-8.
     Text(String),
-    /// It is not.
+    /// Any other body.
     Bytes(Vec<u8>),
 }
 
-/// The outcome of a call, as its row keeps it.
+/// Returns the outcome to store in the row of a call.
 pub fn outcome(job: &Job, reply: &Reply) -> Outcome {
     let text = std::str::from_utf8(&reply.body).ok();
     let body = match text.filter(|t| t.len() <= MAX_ROW_BYTES) {
@@ -52,7 +52,7 @@
     }
 }
 
-/// Stores the body that a row is to name; returns whether the row may be written.
+/// Stores the body that a row is to refer to; returns whether the row may be written.
 pub async fn store_body(router: &Router, state: &State, reply: Option<&Reply>) -> bool {
     let State::Done(Outcome {
         body: Body::Object(name),
@@ -70,7 +70,7 @@
     platform(router).put_object(name, &value).await.is_ok()
 }
 
-/// What a caller is told.
+/// Builds the response to a caller; `reply` is the one that this submission received, if any.
 pub async fn response(
     router: &Router,
     answer: Answer,
@@ -91,7 +91,7 @@
     error.response()
 }
 
-/// The answer of a backend server as a response.
+/// Converts the reply of a backend server to a response.
 pub fn reply_response(answer: Reply) -> Response {
     let mut response = Response::new(reply::whole(answer.body));
     *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
@@ -102,7 +102,7 @@
     response
 }
 
-/// Reads a kept answer, if that can be done in time.
+/// Reads a stored reply; `None` if its body cannot be read before the deadline.
 async fn read_stored(router: &Router, outcome: Outcome, deadline: Millis) -> Option<Reply> {
     let body = match outcome.body {
         Body::Text(text) => text.into_bytes(),
@@ -115,7 +115,7 @@
     })
 }
 
-/// Reads a body from the object store.
+/// Reads a body from the object store, with retries until the deadline.
 async fn read_object(router: &Router, name: &str, deadline: Millis) -> Option<Vec<u8>> {
     loop {
         let value = platform(router).object(name).await.ok().flatten();
@@ -128,32 +128,34 @@
     }
 }
 
-/// The error of a submission whose task ended early.
+/// Returns the error for a submission whose task ended without an answer.
 pub fn interrupted() -> CallerError {
     CallerError {
         kind: Kind::OutcomeUnknown,
-        message: "the host lost track of the call; repeat it with its key".to_owned(),
+        message:
+            "the task that ran the call ended without a result; retry the call with the same key"
+                .to_owned(),
         ran: Ran::Unknown,
         retry_after: Some(RETRY_AFTER_S),
     }
 }
 
 fn not_sent() -> CallerError {
-    let message = "the call was not sent in time and never will be under this key; \
-                   make it again under a new key";
+    let message = "the call was not sent in time and will never be sent under this key; \
+                   retry it under a new key";
     CallerError::not_run(Kind::NotSent, message).retry_after(RETRY_AFTER_S)
 }
 
 fn reused() -> CallerError {
-    let message = "the key belongs to another call; use a new key for this one";
+    let message = "the key was already used for a different call; use a new key for this one";
     CallerError::not_run(Kind::KeyReused, message)
 }
 
 fn outcome_unavailable() -> CallerError {
     CallerError {
         kind: Kind::OutcomeAway,
-        message: "the call ran and its answer is kept, but cannot be read now; \
-                  repeat it with its key"
+        message: "the call ran and its answer is stored, but cannot be read now; \
+                  retry the call with the same key"
             .to_owned(),
         ran: Ran::Ran,
         retry_after: Some(RETRY_AFTER_S),
@@ -164,18 +166,20 @@
     let (kind, message, retry_after) = match reason {
         UnknownReason::Lost => (
             Kind::OutcomeUnknown,
-            "the call was sent and its answer is lost; ask the service whether it ran",
+            "the call was sent, but no usable answer was received; \
+             check with the service whether it ran",
             None,
         ),
         UnknownReason::Busy => (
             Kind::OutcomeUnknown,
-            "another submission of the key has not ended; repeat the call with its key",
+            "another submission with this key has not finished; \
+             retry the call with the same key",
             Some(RETRY_AFTER_S),
         ),
         UnknownReason::Store => (
             Kind::StoreAway,
-            "this host sent nothing, but cannot read whether another did; \
-             repeat the call with its key",
+            "this host did not send the call, but cannot read whether another host did; \
+             retry the call with the same key",
             Some(RETRY_AFTER_S),
         ),
     };
--- a/crates/gooseberry-router/src/services/retry.rs
+++ b/crates/gooseberry-router/src/services/retry.rs
@@ -1,4 +1,4 @@
-//! Carries out the tries of a call that may repeat.
+//! Runs an idempotent call: sends it to one server after another until one answers.
 
 use std::sync::Mutex;
 
@@ -19,10 +19,10 @@
 use crate::services::job::Job;
 use crate::services::outcome;
 
-/// The seconds after which it helps to ask again.
+/// Value of `retry-after`, in seconds.
 const RETRY_AFTER_S: u64 = 1;
 
-/// The retries that the calls of each service have earned.
+/// Retry budget of each service.
 #[derive(Debug, Default)]
 pub struct Budgets {
     services: Mutex<Sorted<ServiceName, RetryBudget>>,
@@ -35,15 +35,16 @@
     }
 }
 
-/// Why a try has no answer.
+/// Reason why an attempt failed.
 enum AttemptError {
-    /// Nothing was sent.
+    /// Nothing was sent; names the server, if one was selected.
     NotSent(Option<BackendId>),
-    /// It may have run.
+    /// The call was sent and may have run.
     Sent(BackendId, Failure),
 }
 
-/// Makes tries until one is answered.
+/// Makes attempts until one succeeds, the attempts or the retry budget are used up, or the deadline
+/// passes.
 pub async fn run(router: &Router, job: &Job, retry: &Retry) -> Response {
     let number = router.registry.enter(&job.name);
     let time_limit = Millis(retry.try_ms.max(1));
@@ -68,19 +69,19 @@
             }
         }
         log::warn!(
-            "try failed key={} host={} tries={}",
+            "attempt failed key={} host={} tries={}",
             job.name,
             router.settings.host,
             call.count()
         );
-        // Metrics that cannot be sent are no concern of the caller.
+        // A metric that cannot be sent must not affect the request.
         let _ = router.metrics.count("calls.try_failed", 1);
     }
     router.registry.leave(number);
     response.unwrap_or_else(|| no_answer(ran).response())
 }
 
-/// The next try, if the call has one left.
+/// Returns the next attempt, if one is allowed.
 fn next(router: &Router, job: &Job, call: &mut Attempts) -> Option<Attempt> {
     let now = router.timer.now();
     router
@@ -88,7 +89,7 @@
         .with(&job.service, |budget| call.next(now, budget))
 }
 
-/// Makes one try.
+/// Selects a server and makes one attempt.
 async fn attempt(router: &Router, job: &Job, next: &Attempt) -> Result<Reply, AttemptError> {
     let mut placed = place(router, &job.want(&next.avoid))
         .map_err(|_: NoBackend| AttemptError::NotSent(None))?;
@@ -101,7 +102,7 @@
     answered
 }
 
-/// Makes one try at a server.
+/// Makes one attempt at the given server.
 async fn attempt_at(
     router: &Router,
     job: &Job,
@@ -110,7 +111,7 @@
 ) -> Result<Reply, AttemptError> {
     let backend = || view.backend.clone();
     let remaining = || next.deadline.since(router.timer.now()).duration();
-    // Each try has a connection of its own, so a silent one is never used again.
+    // Each attempt opens its own connection, so an unresponsive one is never reused.
     let connection = Connection::open(view.addr, remaining())
         .await
         .map_err(|_| AttemptError::NotSent(Some(backend())))?;
@@ -122,7 +123,7 @@
     }
 }
 
-/// Whether another server may do better.
+/// Whether the status is a gateway or availability error, after which another server may succeed.
 fn is_unavailable(reply: &Reply) -> bool {
     let statuses = [
         StatusCode::BAD_GATEWAY,
@@ -134,11 +135,11 @@
         .any(|status| status.as_u16() == reply.status)
 }
 
-/// The error of a call without an answer.
+/// Returns the error for a call that no server answered.
 fn no_answer(ran: Ran) -> CallerError {
     CallerError {
         kind: Kind::BadGateway,
-        message: "no backend server answered in time; repeat the call".to_owned(),
+        message: "no backend server answered in time; retry the call".to_owned(),
         ran,
         retry_after: Some(RETRY_AFTER_S),
     }
--- a/crates/gooseberry-router/tests/agent_gone.rs
+++ b/crates/gooseberry-router/tests/agent_gone.rs
@@ -1,6 +1,7 @@
-//! A router whose agent is gone follows another agent of its data centre.
+//! A router whose agent has failed follows another agent of its data centre, and returns to its own
+//! once that is back.
 
-#[expect(dead_code, reason = "each test uses a part of the deployment")]
+#[expect(dead_code, reason = "each test uses part of the module")]
 mod fleet;
 
 use fleet::Fleet;
@@ -18,28 +19,30 @@
     let answer = fleet.complete(0, "a", 20).await;
     assert!(answer.is_complete("a", 20), "{answer:?}");
 
-    // The other agent takes the host for dead, and its new life for another one.
+    // The other agent marks the host as not alive, and the restarted agent as a new incarnation.
     let view = |field: &'static str| {
         let fleet = &fleet;
         async move { fleet.state(1).await["hosts"][0][field].clone() }
     };
     let before = view("incarnation").await;
     fleet
-        .wait_until("host 0 is not relied on", || async {
+        .wait_until("host 0 is marked as not alive", || async {
             view("alive").await == false
         })
         .await;
     let agent = fleet.agent(0);
     fleet
-        .wait_until("host 0 is back", || async { view("alive").await == true })
+        .wait_until("host 0 is marked as alive", || async {
+            view("alive").await == true
+        })
         .await;
     assert_ne!(view("incarnation").await, before);
 
-    // The router goes back to its own agent.
+    // The router returns to its own agent.
     let own = fleet.state(0).await["hosts"][0]["agent"].clone();
     let followed = || async { fleet.state(0).await["agent"] == own };
     fleet
-        .wait_until("its own agent is followed", followed)
+        .wait_until("the router follows its own agent", followed)
         .await;
     fleet.configure(3).await;
     fleet
--- a/crates/gooseberry-router/tests/bad_input.rs
+++ b/crates/gooseberry-router/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Requests that cannot be served: each gets a typed error that names the remedy.
+//! Invalid requests: each gets a typed error whose message names the remedy.
 
 mod common;
 
@@ -16,7 +16,7 @@
     router
 }
 
-/// Checks the shape that all errors share.
+/// Checks status, kind, `ran` and the remedy in the message.
 fn check(answer: &Answer, status: StatusCode, kind: &str, remedy: &str) {
     assert_eq!(answer.status, status, "{}", answer.body);
     assert_eq!(answer.body["kind"], kind);
@@ -90,12 +90,15 @@
     let value = HeaderValue::from_str(&"x".repeat(100_000)).expect("the value is plain");
     large.headers_mut().insert("x-large", value);
     let mut sender = connect(&router).await;
-    let response = sender.send_request(large).await.expect("an answer comes");
+    let response = sender
+        .send_request(large)
+        .await
+        .expect("a response arrives");
     assert_eq!(
         response.status(),
         StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE
     );
-    // Others are served as before.
+    // Other connections are not affected.
     let answer = send(&router, request("GET", "/nothing", "")).await;
     check(
         &answer,
--- a/crates/gooseberry-router/tests/clear_rows.rs
+++ b/crates/gooseberry-router/tests/clear_rows.rs
@@ -1,6 +1,6 @@
-//! Rows are cleared once their time is over, and not before.
+//! Call rows are deleted after their retention period, and not before.
 
-#[expect(dead_code, reason = "other tests use the rest")]
+#[expect(dead_code, reason = "each test uses part of the module")]
 mod site;
 
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 use store::wire::{Row, Scan};
 use tokio_util::sync::CancellationToken;
 
-/// A body that is kept in the object store, in bytes.
+/// Size of a body that is stored in the object store, in bytes.
 const LARGE: usize = 50_000;
 
 #[tokio::test]
@@ -28,12 +28,13 @@
     let body = "x".repeat(LARGE);
     site.call(0, Method::POST, "/confirm", "large", &body).await;
     site.confirm(0, "small").await;
-    // A row outlives each submission that may still be under way.
+    // A row is kept for at least two deadlines, also with `retain_ms` 1, so that it outlives each
+    // submission in progress.
     until_count(router, 2).await;
     clear(router).await;
     assert_eq!(rows(router).await.len(), 2);
     let object = rows(router).await.iter().find_map(object_name);
-    let object = object.expect("a large body");
+    let object = object.expect("the large body is in the object store");
     while !rows(router).await.is_empty() {
         clear(router).await;
     }
@@ -41,7 +42,7 @@
     assert_eq!(kept, None);
 }
 
-/// Waits until both outcomes are stored.
+/// Waits until `count` outcomes are stored.
 async fn until_count(router: &Arc<Router>, count: usize) {
     loop {
         let done = rows(router).await;
--- a/crates/gooseberry-router/tests/common/mod.rs
+++ b/crates/gooseberry-router/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A router behind an in-memory pipe.
+//! A router that is called through an in-memory pipe.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,13 +17,13 @@
 use timer::Timer;
 use tokio_util::sync::CancellationToken;
 
-/// The bearer key of the workspace.
+/// Bearer key of the workspace.
 pub(crate) const BEARER: &str = "letmein";
 
-/// The bytes that a pipe holds.
+/// Capacity of a pipe, in bytes.
 const PIPE_BYTES: usize = 64 * 1024;
 
-/// An answer, read to its end.
+/// A response with its whole body.
 #[derive(Debug)]
 pub(crate) struct Answer {
     pub(crate) status: StatusCode,
@@ -31,7 +31,7 @@
     pub(crate) body: Value,
 }
 
-/// A router with one model service and no backend server.
+/// Creates a router without configuration or backend servers.
 pub(crate) fn router() -> Arc<Router> {
     let unused: SocketAddr = ([127, 0, 0, 1], 9).into();
     let settings = serde_json::from_value(json!({
@@ -49,7 +49,7 @@
     ))
 }
 
-/// Puts the configuration into force.
+/// Applies the configuration of [`document`].
 pub(crate) fn configure(router: &Router) {
     router.swap(Snapshot {
         document: Arc::new(document()),
@@ -57,7 +57,7 @@
     });
 }
 
-/// One profile, one service, one workspace.
+/// Configuration with one profile, one model service and one workspace.
 fn document() -> Document {
     let document = json!({
         "version": 3,
@@ -73,7 +73,7 @@
     serde_json::from_value(document).expect("the document has the right shape")
 }
 
-/// A connection to the router.
+/// Opens a connection to the router.
 pub(crate) async fn connect(router: &Arc<Router>) -> SendRequest<Full<Bytes>> {
     let (near, far) = tokio::io::duplex(PIPE_BYTES);
     let router = router.clone();
@@ -91,12 +91,15 @@
 /// Sends one request over a new connection.
 pub(crate) async fn send(router: &Arc<Router>, request: Request<Full<Bytes>>) -> Answer {
     let mut sender = connect(router).await;
-    let response = sender.send_request(request).await.expect("an answer comes");
+    let response = sender
+        .send_request(request)
+        .await
+        .expect("a response arrives");
     let (parts, body) = response.into_parts();
     let bytes = body
         .collect()
         .await
-        .expect("the answer is whole")
+        .expect("the body is complete")
         .to_bytes();
     Answer {
         status: parts.status,
@@ -105,7 +108,7 @@
     }
 }
 
-/// A request of the workspace.
+/// Builds a request with the bearer key of the workspace.
 pub(crate) fn request(method: &str, path: &str, body: impl Into<Bytes>) -> Request<Full<Bytes>> {
     Request::builder()
         .method(method)
--- a/crates/gooseberry-router/tests/flags.rs
+++ b/crates/gooseberry-router/tests/flags.rs
@@ -1,4 +1,4 @@
-//! The options that print and exit.
+//! Command-line options that print and exit.
 
 use std::process::{Command, Output};
 
--- a/crates/gooseberry-router/tests/fleet/mod.rs
+++ b/crates/gooseberry-router/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A small deployment within one test: each process has a runtime of its own and can be killed.
+//! A small deployment within one test: each process has its own runtime and can be killed.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -24,23 +24,23 @@
 
 use store as platform_client;
 
-/// The longest wait for anything that must come true.
+/// Time limit of [`Fleet::wait_until`] and [`bind`].
 const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
-/// The time between looks.
+/// Interval between two checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// The time limit of one call.
+/// Time limit of one call.
 const CALL_LIMIT: Duration = Duration::from_secs(2);
 
-/// The key of the callers and that of the operators.
+/// Bearer keys of callers and of operators.
 pub(crate) const BEARER: &str = "caller-key";
 pub(crate) const OPERATOR: &str = "operator-key";
 
-/// The data centre.
+/// Data centre of all hosts and engines.
 const DATA_CENTRE: &str = "vn-south-a";
 
-/// A process: a runtime that can be dropped at any moment.
+/// A simulated process: a runtime that can be shut down at any time.
 pub(crate) struct Process {
     runtime: Mutex<Option<Runtime>>,
     stop: CancellationToken,
@@ -72,20 +72,24 @@
         }
     }
 
-    /// Ends the process at once.
+    /// Kills the process without a graceful shutdown.
     pub(crate) fn kill(&self) {
-        let runtime = self.runtime.lock().expect("no panic").take();
+        let runtime = self
+            .runtime
+            .lock()
+            .expect("the lock is not poisoned")
+            .take();
         if let Some(runtime) = runtime {
             runtime.shutdown_background();
         }
     }
 
-    /// What SIGTERM does.
+    /// Starts a graceful shutdown, as SIGTERM does.
     pub(crate) fn terminate(&self) {
         self.stop.cancel();
     }
 
-    /// Whether the process has ended by itself, and with success.
+    /// Whether the process has exited by itself and successfully.
     pub(crate) fn has_exited(&self) -> bool {
         *self.ended.borrow() == Some(true)
     }
@@ -108,7 +112,8 @@
 }
 
 impl Fleet {
-    /// Starts `hosts` entry hosts before `engines` engines; `net` is the test's own network.
+    /// Starts `hosts` entry hosts and `engines` engines; `net` must be unique among the tests that
+    /// run at the same time, as it selects the loopback addresses.
     pub(crate) async fn start(net: u8, hosts: u8, engines: u8) -> Self {
         let addr = address(net, 0, 7020);
         let mut settings = platform::Settings {
@@ -151,7 +156,7 @@
         }
         for i in 0..hosts {
             fleet
-                .wait_until("all members are seen", || async {
+                .wait_until("all members are alive", || async {
                     let state = fleet.state(i).await;
                     let alive = |list: &Value, field: &str| {
                         let of = |v: &Value| {
@@ -174,7 +179,7 @@
         fleet
     }
 
-    /// Puts a configuration of this version into the platform's table.
+    /// Commits a configuration of this version to the platform's table.
     pub(crate) async fn configure(&self, version: u64) {
         let document: Document = serde_json::from_value(json!({
             "version": version,
@@ -196,7 +201,7 @@
         self.platform.transact(&body).await.expect("a write");
     }
 
-    /// Starts an engine that gives a token each 10 ms.
+    /// Starts an engine that generates one token every 10 ms.
     pub(crate) async fn engine(&self, i: u8) -> Process {
         let addr = address(self.net, 100 + i, 7010);
         let listener = bind(addr).await;
@@ -241,18 +246,18 @@
         )
     }
 
-    /// Puts a host or engine into the platform's list as leaving or not.
+    /// Marks a host or engine in the platform's list as leaving or not.
     pub(crate) async fn set_leaving(&self, mut host: Host, leaving: bool) {
         host.leaving = leaving;
         self.platform.put_host(&host).await.expect("a list entry");
     }
 
-    /// The entry of an engine in the list.
+    /// Entry of an engine in the platform's list.
     pub(crate) fn backend(&self, i: u8) -> Host {
         backend(self.net, i)
     }
 
-    /// Switches a fault of an engine.
+    /// Sets or clears faults of an engine.
     pub(crate) async fn switch(&self, i: u8, fault: &Switch) {
         let addr = address(self.net, 100 + i, 7010);
         let done: Result<Value, _> =
@@ -260,7 +265,7 @@
         done.expect("a switch");
     }
 
-    /// The streams that an engine has started.
+    /// Number of streams that an engine has started.
     pub(crate) async fn streams(&self, i: u8) -> u64 {
         let addr = address(self.net, 100 + i, 7010);
         let stats: engine::Stats = web::client::get(addr, "/stats", CALL_LIMIT)
@@ -269,7 +274,7 @@
         stats.streams
     }
 
-    /// The state dump of a router, or null.
+    /// State dump of a router, or null if it does not answer.
     pub(crate) async fn state(&self, i: u8) -> Value {
         let admin = address(self.net, 1 + i, 7003);
         web::client::get(admin, "/v1/state", CALL_LIMIT)
@@ -277,7 +282,7 @@
             .unwrap_or_default()
     }
 
-    /// One entry of a router's list of backend servers.
+    /// View of an engine in the state dump of a router, or null.
     pub(crate) async fn backend_view(&self, host: u8, engine: u8) -> Value {
         let state = self.state(host).await;
         let name = format!("engine-{engine}");
@@ -288,7 +293,7 @@
         found.map(|b| b["seen"].clone()).unwrap_or_default()
     }
 
-    /// The host that witnesses the only request in flight at a router.
+    /// Index of the host that is the witness of the only request in flight at a router.
     pub(crate) async fn witness(&self, host: u8) -> Option<u8> {
         let state = self.state(host).await;
         let name = state["requests"][0]["state"]["witness"]["witness"].clone();
@@ -310,14 +315,15 @@
         answer.status().as_u16()
     }
 
-    /// Asks for an output through a host.
+    /// Requests a completion through a host.
     pub(crate) async fn complete(&self, host: u8, key: &str, tokens: u64) -> Answer {
         let mut answer = Answer::default();
         self.resume(host, key, tokens, &mut answer).await;
         answer
     }
 
-    /// Asks for the rest of an output through a host; what came before a break is kept.
+    /// Requests the rest of a completion through a host and appends it to `answer`; keeps what was
+    /// received if the connection breaks.
     pub(crate) async fn resume(&self, host: u8, key: &str, tokens: u64, answer: &mut Answer) {
         let addr = address(self.net, 1 + host, 7001);
         let request = request(addr, key, tokens, answer);
@@ -336,20 +342,20 @@
         }
     }
 
-    /// Waits until something holds.
+    /// Waits until a condition holds; panics with `what` after [`WAIT_LIMIT`].
     pub(crate) async fn wait_until<F>(&self, what: &str, mut holds: impl FnMut() -> F)
     where
         F: Future<Output = bool>,
     {
         let deadline = Instant::now() + WAIT_LIMIT;
         while !holds().await {
-            assert!(Instant::now() < deadline, "in vain: {what}");
+            assert!(Instant::now() < deadline, "timed out waiting until {what}");
             sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-/// What a caller has of an answer.
+/// The part of a streamed completion that a caller has received.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Answer {
     pub(crate) status: u16,
@@ -360,7 +366,7 @@
 }
 
 impl Answer {
-    /// Takes in one event.
+    /// Applies one server-sent event.
     fn apply_event(&mut self, event: &str) {
         let field = |name: &str| event.lines().find_map(|l| l.strip_prefix(name));
         if field("event: ") == Some("restart") {
@@ -376,7 +382,7 @@
         self.text += body["choices"][0]["text"].as_str().unwrap_or_default();
     }
 
-    /// Whether it is the whole output of one generation.
+    /// Whether it is the complete output of one generation.
     pub(crate) fn is_complete(&self, key: &str, tokens: u64) -> bool {
         let (length, _) = sequence::length(&prompt(key), tokens);
         self.is_done && sequence::check(&prompt(key), &self.text) == Ok(length)
@@ -404,7 +410,7 @@
     format!("Scene {key}: break the script down.")
 }
 
-/// A listener on an address that a process has just left, perhaps.
+/// Binds an address, with retries while a killed process still holds it.
 async fn bind(addr: SocketAddr) -> std::net::TcpListener {
     let deadline = Instant::now() + WAIT_LIMIT;
     loop {
@@ -440,7 +446,7 @@
     }
 }
 
-/// An address of this run of the tests.
+/// Loopback address that is specific to this test process.
 fn address(net: u8, host: u8, port: u16) -> SocketAddr {
     let run = u8::try_from(std::process::id() % 200).unwrap_or(0) + 20;
     SocketAddr::from(([127, run, net, host + 1], port))
--- a/crates/gooseberry-router/tests/free_places.rs
+++ b/crates/gooseberry-router/tests/free_places.rs
@@ -1,4 +1,7 @@
-//! The free places of a backend server whose load report is older than many views.
+//! Free slots of a backend server whose load report is older than many views.
+//!
+//! The router adds its own requests placed since the report; the test guards against losing count
+//! of them when more views arrive than counts are kept.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,11 +10,11 @@
 use gooseberry_router::backends::{Backend, Placed};
 use peer::agent::BackendView;
 
-/// The places of the server, and the requests that its report counts.
+/// Slots of the server, and the running requests in its report.
 const SLOTS: u64 = 16;
 const REPORTED: u64 = 4;
 
-/// A view whose report is a second old.
+/// Creates a view whose load report is one second old.
 fn view() -> BackendView {
     BackendView {
         backend: BackendId::from("engine-0"),
@@ -36,12 +39,12 @@
     let placed: Vec<Placed> = (0..5)
         .map(|_| Placed::new(first.clone(), Millis(1_010), false))
         .collect();
-    // Views come for other servers as well; each carries the same old report of this one.
+    // Each change of another server also produces a view, with the same old report of this one.
     let mut held = first;
     for at in 1_011..1_300 {
         held = Arc::new(Backend::adopt(Millis(at), view(), &[held]));
     }
-    // The report was made before any of the five was placed, and counts none of them.
+    // The report predates all five requests and counts none of them.
     assert_eq!(held.free(Millis(1_300)), SLOTS - REPORTED - 5);
     drop(placed);
 }
--- a/crates/gooseberry-router/tests/host_drains.rs
+++ b/crates/gooseberry-router/tests/host_drains.rs
@@ -1,18 +1,18 @@
-//! A host that leaves cuts nobody off and takes no journal with it.
+//! A host that drains finishes its streams and transfers its journals to other hosts.
 
-#[expect(dead_code, reason = "each test uses a part of the deployment")]
+#[expect(dead_code, reason = "each test uses part of the module")]
 mod fleet;
 
 use fleet::{Answer, BEARER, Fleet, OPERATOR};
 
-/// The tokens of a stream that lasts for some seconds.
+/// Number of tokens of a stream that lasts for several seconds.
 const LONG: u64 = 400;
 
-/// The port of a router for operators, and that of an agent.
+/// Operator ports of a router and of an agent.
 const ROUTER: u16 = 7003;
 const AGENT: u16 = 7005;
 
-/// Waits until the request at a router has a witness, with some tokens.
+/// Waits until the request at a router has received tokens and has a witness, and returns that.
 async fn witness(fleet: &Fleet, host: u8) -> u8 {
     let runs = || async {
         let state = fleet.state(host).await;
@@ -31,7 +31,9 @@
         witness(&fleet, 0).await;
         fleet.routers[0].terminate();
         let leaves = || async { fleet.state(1).await["hosts"][0]["leaving"] == true };
-        fleet.wait_until("the other host knows", leaves).await;
+        fleet
+            .wait_until("the other host lists host 0 as leaving", leaves)
+            .await;
         let refused = fleet.complete(0, "new", 5).await;
         assert_eq!(refused.status, 503, "{refused:?}");
         let other = fleet.complete(1, "new", 5).await;
@@ -41,7 +43,9 @@
     assert!(answer.is_complete("long", LONG), "{answer:?}");
     assert_eq!(answer.restarts, 0);
     let ended = || async { fleet.routers[0].has_exited() && fleet.agents[0].has_exited() };
-    fleet.wait_until("router and agent have ended", ended).await;
+    fleet
+        .wait_until("router and agent have exited", ended)
+        .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -56,13 +60,13 @@
             assert_eq!(fleet.drain(left, ROUTER, Some(OPERATOR)).await, 202);
             let i = usize::from(left);
             let ended = || async { fleet.routers[i].has_exited() && fleet.agents[i].has_exited() };
-            fleet.wait_until("the witness has ended", ended).await;
+            fleet.wait_until("the witness has exited", ended).await;
             assert_ne!(witness(&fleet, 0).await, left);
             fleet.routers[0].kill();
         } => {}
     }
-    assert!(!answer.is_done, "the stream was to outlast the witness");
-    // The owner has died; the host that is left has the journal.
+    assert!(!answer.is_done, "the stream must outlast the witness");
+    // The owner was killed; the remaining host has the journal.
     fleet.resume(3 - left, "kept", LONG, &mut answer).await;
     assert!(answer.is_complete("kept", LONG), "{answer:?}");
     assert_eq!(answer.restarts, 0, "the journal was lost");
@@ -84,7 +88,7 @@
     assert_eq!(fleet.drain(left, AGENT, Some(OPERATOR)).await, 202);
     let i = usize::from(left);
     let ended = || async { fleet.routers[i].has_exited() && fleet.agents[i].has_exited() };
-    fleet.wait_until("the witness has ended", ended).await;
+    fleet.wait_until("the witness has exited", ended).await;
     fleet.resume(3 - left, "orphan", LONG, &mut answer).await;
     assert!(answer.is_complete("orphan", LONG), "{answer:?}");
     assert_eq!(answer.restarts, 0, "the journal was lost");
--- a/crates/gooseberry-router/tests/journal_holders.rs
+++ b/crates/gooseberry-router/tests/journal_holders.rs
@@ -1,4 +1,4 @@
-//! Whoever takes a request over asks every host that its owner may have used as witness.
+//! A host that takes over a request queries every host that its owner may have chosen as witness.
 
 use base::prelude::*;
 use cadence::{NopMetricSink, StatsdClient};
@@ -8,10 +8,10 @@
 use serde_json::json;
 use timer::Timer;
 
-/// The data centre of each host: four with two hosts each.
+/// Data centre of each host: four data centres with two hosts each.
 const CENTRES: [&str; 8] = ["a", "b", "c", "d", "a", "b", "c", "d"];
 
-/// How many requests are tried.
+/// Number of request keys to check.
 const KEYS: usize = 200;
 
 fn view(i: usize) -> HostView {
@@ -26,7 +26,7 @@
     }
 }
 
-/// The router of one host, which knows all.
+/// Creates the router of host `i` with a view of all hosts.
 fn router(i: usize) -> Router {
     let settings = json!({
         "host": format!("entry-{i}"),
@@ -60,7 +60,10 @@
                 let asked: Vec<HostId> = other.holders(&key).into_iter().map(|h| h.host).collect();
                 let is_known = |w: &&HostId| **w == other.settings.host || asked.contains(w);
                 let missing: Vec<_> = witnesses.iter().filter(|w| !is_known(w)).collect();
-                assert!(missing.is_empty(), "{key} not asked: {missing:?}");
+                assert!(
+                    missing.is_empty(),
+                    "{key}: witnesses that are not queried: {missing:?}"
+                );
             }
         }
     }
--- a/crates/gooseberry-router/tests/late_start.rs
+++ b/crates/gooseberry-router/tests/late_start.rs
@@ -1,4 +1,4 @@
-//! Output that does not begin within the deadline: the caller has its answer at once.
+//! A generation whose output does not begin within the deadline is answered with an error then.
 
 mod common;
 
@@ -14,7 +14,7 @@
 use serde_json::json;
 use tokio::net::TcpListener;
 
-/// A router whose only engine takes connections and never answers.
+/// Creates a router whose only engine accepts connections and never answers.
 async fn router_with_unresponsive_engine() -> (Arc<Router>, TcpListener) {
     let listener = TcpListener::bind(("127.0.0.1", 0)).await.expect("a port");
     let view = BackendView {
@@ -59,7 +59,7 @@
         answer.body
     );
     assert_eq!(answer.body["kind"], "overloaded");
-    // The engine may have begun: it is not said that nothing was run.
+    // The engine may have started the generation, so `not_run` would be wrong.
     assert_eq!(answer.body["ran"], "unknown");
     assert_eq!(answer.headers["retry-after"], "1");
 }
--- a/crates/gooseberry-router/tests/once_calls.rs
+++ b/crates/gooseberry-router/tests/once_calls.rs
@@ -1,4 +1,4 @@
-//! Calls that may not repeat, through whole routers.
+//! Non-idempotent calls through routers: a backend server runs each key at most once.
 
 mod site;
 
@@ -7,10 +7,10 @@
 use site::{Behaviour, Fake, Site, document, runs, stand_in, unused_address};
 use tokio_util::sync::CancellationToken;
 
-/// A deadline that no answer of these tests needs.
+/// Deadline, in milliseconds, that these tests do not reach.
 const LONG: u64 = 8_000;
 
-/// A deadline that the tests wait for.
+/// Deadline, in milliseconds, that these tests wait for.
 const SHORT: u64 = 600;
 
 #[tokio::test]
@@ -99,7 +99,7 @@
         (chosen.status, &chosen.json()["kind"]),
         (503, &"store_away".into())
     );
-    // Another host may have run the key: it is not for this one to say that it did not run.
+    // Another host may have run the key, so this one must not answer `not_run`.
     assert_eq!(chosen.json()["ran"], "unknown");
     assert!(chosen.headers.contains_key("retry-after"));
     let generated = site.confirm(0, "").await;
@@ -107,7 +107,7 @@
     site.switch(outage(false)).await;
     assert_eq!(runs(server, "given").await, 0);
     assert_eq!(runs(server, &generated.key()).await, 1);
-    // What was refused runs when it is repeated.
+    // A refused call runs when it is retried.
     let again = site.confirm(0, "given").await;
     assert_eq!(again.status, 200);
     assert_eq!(runs(server, "given").await, 1);
@@ -122,7 +122,7 @@
     let key = first.key();
     let repeat = site.confirm(1, &key).await;
     assert_eq!(repeat.text, first.text);
-    // A key of this form that nobody minted is looked up and never sent.
+    // A key with the prefix of generated keys that no router generated is looked up and never sent.
     let forged = site.confirm(1, "gsb-00").await;
     assert_eq!(forged.json()["ran"], "unknown");
     assert_eq!(runs(server, &key).await, 1);
@@ -138,7 +138,7 @@
     let second = site.confirm(1, "k").await;
     assert_eq!(first.json()["ran"], "unknown");
     assert_eq!(second.json()["ran"], "unknown");
-    assert_eq!(*fake.ran.lock().expect("a list"), ["k"]);
+    assert_eq!(*fake.ran.lock().expect("the lock is not poisoned"), ["k"]);
 }
 
 #[tokio::test]
@@ -150,8 +150,14 @@
     let other = site.confirm(0, "other").await;
     assert_eq!(late.json()["ran"], "unknown");
     assert_eq!((other.status, other.text.as_str()), (200, "other"));
-    assert_eq!(*fake.closed.lock().expect("a list"), ["late"]);
-    assert_eq!(*fake.ran.lock().expect("a list"), ["late", "other"]);
+    assert_eq!(
+        *fake.closed.lock().expect("the lock is not poisoned"),
+        ["late"]
+    );
+    assert_eq!(
+        *fake.ran.lock().expect("the lock is not poisoned"),
+        ["late", "other"]
+    );
 }
 
 #[tokio::test]
@@ -161,7 +167,7 @@
     let refused = site.confirm(0, "k").await;
     assert_eq!(refused.json()["kind"], "not_sent");
     assert_eq!(refused.json()["ran"], "not_run");
-    // The key stays refused, also where a server is at hand.
+    // The key stays refused in this deployment; in another one with a server it runs.
     let server = stand_in(&stop).await;
     let reachable = Site::start(1, &[server], &document(SHORT)).await;
     assert_eq!(reachable.confirm(0, "k").await.status, 200);
--- a/crates/gooseberry-router/tests/peer_restart.rs
+++ b/crates/gooseberry-router/tests/peer_restart.rs
@@ -1,4 +1,4 @@
-//! A host that was replaced at its address is asked over a new connection at once.
+//! After a host is replaced at the same address, the first call already uses a new connection.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,10 +11,10 @@
 use tokio::runtime::Runtime;
 use tokio_util::sync::CancellationToken;
 
-/// Long enough for a call over loopback on a busy machine.
+/// Time limit of a call over loopback, sufficient under high CPU load.
 const LIMIT: Duration = Duration::from_secs(5);
 
-/// A router in a runtime of its own, which ends all its connections with it.
+/// Starts a router in its own runtime; the shutdown of the runtime closes all its connections.
 fn host(addr: SocketAddr) -> (Runtime, SocketAddr) {
     let runtime = Runtime::new().expect("a runtime");
     let listener = runtime
--- a/crates/gooseberry-router/tests/repeat_calls.rs
+++ b/crates/gooseberry-router/tests/repeat_calls.rs
@@ -1,13 +1,13 @@
-//! Calls that may repeat, through a whole router.
+//! Idempotent calls through a router: retries on failed and unresponsive servers.
 
-#[expect(dead_code, reason = "other tests use the rest")]
+#[expect(dead_code, reason = "each test uses part of the module")]
 mod site;
 
 use hyper::Method;
 use site::{Behaviour, Fake, Site, document, runs, stand_in, unused_address};
 use tokio_util::sync::CancellationToken;
 
-/// A deadline that no answer of these tests needs.
+/// Deadline, in milliseconds, that these tests do not reach.
 const LONG: u64 = 8_000;
 
 #[tokio::test]
@@ -24,7 +24,13 @@
         assert_eq!(answer.status, 200);
         assert_eq!(runs(server, &format!("k{i}")).await, 1);
     }
-    assert!(!fake.ran.lock().expect("a list").is_empty());
+    assert!(
+        !fake
+            .ran
+            .lock()
+            .expect("the lock is not poisoned")
+            .is_empty()
+    );
 }
 
 #[tokio::test]
@@ -34,8 +40,14 @@
     let site = Site::start(1, &[server], &document(LONG)).await;
     let answer = site.call(0, Method::GET, "/status", "k", "").await;
     assert_eq!((answer.status, answer.text.as_str()), (200, "k"));
-    assert_eq!(*fake.ran.lock().expect("a list"), ["k", "k"]);
-    assert_eq!(*fake.closed.lock().expect("a list"), ["k"]);
+    assert_eq!(
+        *fake.ran.lock().expect("the lock is not poisoned"),
+        ["k", "k"]
+    );
+    assert_eq!(
+        *fake.closed.lock().expect("the lock is not poisoned"),
+        ["k"]
+    );
 }
 
 #[tokio::test]
@@ -65,7 +77,7 @@
         let answer = site.call(0, method, path, &format!("k{i}"), "").await;
         assert_eq!(answer.json()["ran"], "unknown", "{path}");
     }
-    // Each was sent once: none of them may repeat.
-    let ran = fake.ran.lock().expect("a list").clone();
+    // Each was sent once, as no rule covers any of them.
+    let ran = fake.ran.lock().expect("the lock is not poisoned").clone();
     assert_eq!(ran, ["k0", "k1", "k2", "k3", "k4"]);
 }
--- a/crates/gooseberry-router/tests/resume_target.rs
+++ b/crates/gooseberry-router/tests/resume_target.rs
@@ -1,7 +1,7 @@
-//! Where output goes on after a loss: spread over engines, past those that failed, and to the one
-//! that holds the prompt if the profile says so.
+//! Selection of the backend server for a resumed generation: a cap on resumes per server, no
+//! suspected server while there is another, and servers that cache the prompt first in cost mode.
 
-#[expect(dead_code, reason = "each test uses a part of the pipe")]
+#[expect(dead_code, reason = "each test uses part of the module")]
 mod common;
 
 use std::sync::Arc;
@@ -40,7 +40,7 @@
     Arc::new(Backend::adopt(Millis(0), view, &[]))
 }
 
-/// A router in data centre `vn-south-a` that knows these backend servers.
+/// Creates a router in data centre `vn-south-a` with these backend servers.
 fn router(backends: Vec<Arc<Backend>>) -> Arc<Router> {
     let router = common::router();
     router.swap(Snapshot {
@@ -76,7 +76,7 @@
         .collect();
     let names: Vec<&str> = placed.iter().map(|(name, _)| name.as_str()).collect();
     assert_eq!(names, ["near", "near", "far", "far"]);
-    // Once output goes on, the near one takes more.
+    // After the first token of one resume, the near server accepts another.
     placed[0].1.first_token(router.timer.now());
     assert_eq!(resume(&router, &[], Mode::Latency).0, "near");
 }
--- a/crates/gooseberry-router/tests/site/mod.rs
+++ b/crates/gooseberry-router/tests/site/mod.rs
@@ -24,13 +24,13 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::sync::CancellationToken;
 
-/// The longest wait of a test for one answer.
+/// Time limit of one request of a test.
 pub(crate) const LIMIT: Duration = Duration::from_secs(20);
 
-/// The data centre of everything.
+/// Data centre of all hosts and backend servers.
 const DATA_CENTRE: &str = "vn-south-a";
 
-/// A deployment; its servers end with it.
+/// A deployment; dropping it stops its routers and platform.
 pub(crate) struct Site {
     pub(crate) platform: SocketAddr,
     pub(crate) routers: Vec<Arc<Router>>,
@@ -44,7 +44,7 @@
     }
 }
 
-/// An answer as a caller sees it.
+/// Response to a call, as the caller receives it.
 #[derive(Clone, Debug)]
 pub(crate) struct CallAnswer {
     pub(crate) status: u16,
@@ -64,7 +64,7 @@
 }
 
 impl Site {
-    /// Starts routers before these backend servers.
+    /// Starts a platform and routers that use these backend servers.
     pub(crate) async fn start(
         routers: usize,
         backends: &[SocketAddr],
@@ -149,7 +149,7 @@
             .await
             .expect("an answer");
         let (parts, body) = response.into_parts();
-        let bytes = body.collect().await.expect("a whole body").to_bytes();
+        let bytes = body.collect().await.expect("a complete body").to_bytes();
         CallAnswer {
             status: parts.status.as_u16(),
             headers: parts.headers,
@@ -157,13 +157,13 @@
         }
     }
 
-    /// Confirms a booking: a call that may not repeat.
+    /// Confirms a booking: a call that is not idempotent.
     pub(crate) async fn confirm(&self, router: usize, key: &str) -> CallAnswer {
         self.call(router, Method::POST, "/confirm", key, "gaffer, Tuesday")
             .await
     }
 
-    /// Switches a fault of the platform.
+    /// Sets or clears faults of the platform.
     pub(crate) async fn switch(&self, switch: Switch) {
         let _: Value = web::client::call(self.platform, Method::POST, "/faults", &switch, LIMIT)
             .await
@@ -171,7 +171,7 @@
     }
 }
 
-/// A plain service stand-in.
+/// Starts a stand-in of a plain service.
 pub(crate) async fn stand_in(stop: &CancellationToken) -> SocketAddr {
     let (listener, addr) = listen().await;
     tokio::spawn(service::run(
@@ -182,13 +182,13 @@
     addr
 }
 
-/// How often a stand-in ran `key`.
+/// Number of times that a stand-in ran the call with `key`.
 pub(crate) async fn runs(addr: SocketAddr, key: &str) -> u64 {
     let runs: Vec<service::Runs> = web::client::get(addr, "/runs", LIMIT).await.expect("runs");
     runs.iter().find(|r| r.key == key).map_or(0, |r| r.count)
 }
 
-/// A server of one line of behaviour; each call is noted by its key.
+/// Fake backend server with a fixed behaviour, which records the key of each call.
 #[derive(Clone, Default)]
 pub(crate) struct Fake {
     /// The keys of the calls that ran.
@@ -197,17 +197,17 @@
     pub(crate) closed: Arc<Mutex<Vec<String>>>,
 }
 
-/// What a [`Fake`] does with a call that it ran.
+/// Behaviour of a [`Fake`] after it has run a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Behaviour {
-    /// Closes the connection.
+    /// Closes the connection without an answer.
     Disconnect,
-    /// Answers the first call after so many milliseconds, the others at once.
+    /// Answers the first call after this many milliseconds, the others at once.
     SlowFirst(u64),
 }
 
 impl Fake {
-    /// Serves for as long as the test runs.
+    /// Serves until the end of the test.
     pub(crate) async fn serve(&self, behaviour: Behaviour) -> SocketAddr {
         let (listener, addr) = listen().await;
         let fake = self.clone();
@@ -229,7 +229,7 @@
             let key = text.split("idempotency-key: ").nth(1).unwrap_or_default();
             let key = key.lines().next().unwrap_or_default().to_owned();
             let is_first = {
-                let mut ran = self.ran.lock().expect("a list");
+                let mut ran = self.ran.lock().expect("the lock is not poisoned");
                 ran.push(key.clone());
                 ran.len() == 1
             };
@@ -240,7 +240,10 @@
                     let wait =
                         tokio::time::timeout(Duration::from_millis(ms), stream.read(&mut byte));
                     if wait.await.is_ok() {
-                        self.closed.lock().expect("a list").push(key);
+                        self.closed
+                            .lock()
+                            .expect("the lock is not poisoned")
+                            .push(key);
                         return;
                     }
                 }
@@ -257,7 +260,7 @@
     }
 }
 
-/// One plain service; a GET of `/status` may be repeated.
+/// Configuration with one plain service; only `GET /status` is idempotent.
 pub(crate) fn document(deadline_ms: u64) -> Document {
     let document = json!({
         "version": 1,
@@ -270,7 +273,7 @@
     serde_json::from_value(document).expect("a document")
 }
 
-/// An address where nothing listens.
+/// Returns an address on which nothing listens.
 pub(crate) async fn unused_address() -> SocketAddr {
     let (listener, addr) = listen().await;
     drop(listener);
@@ -305,7 +308,7 @@
         incarnation: None,
         leaving: false,
         alive: true,
-        // The first is the least loaded, so that each call goes there first.
+        // The first server has the least load, so that each call goes there first.
         running: n as u64 * 10,
         queued: 0,
         slots: 0,
--- a/crates/gooseberry-router/tests/slow_caller.rs
+++ b/crates/gooseberry-router/tests/slow_caller.rs
@@ -1,7 +1,7 @@
-//! A caller that does not read: the router holds a bounded part of the output, and all of it arrives
-//! once the caller reads again.
+//! Back-pressure from a caller that does not read: the router buffers a bounded part of the output,
+//! and all of it arrives once the caller reads again.
 
-#[expect(dead_code, reason = "each test uses a part of the pipe")]
+#[expect(dead_code, reason = "each test uses part of the module")]
 mod common;
 
 use std::sync::Arc;
@@ -19,21 +19,21 @@
 use tokio::net::TcpListener;
 use tokio_util::sync::CancellationToken;
 
-/// The most tokens asked for.
+/// Maximum number of output tokens.
 const TOKENS: u64 = 4_000;
 
-/// The most tokens that the router takes while nobody reads: its window and what its buffers and the
-/// pipe hold, each token being an event of some 150 bytes.
+/// Bound on the tokens that the router receives while the caller does not read: its window and what
+/// its buffers and the pipe hold, at about 150 bytes per token event.
 const MAX_HELD: u64 = 2_000;
 
-/// The time between two looks at the engine, and how many there are at most.
+/// Interval between two polls of the engine, and the maximum number of polls.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 const MAX_POLLS: u32 = 300;
 
-/// The prompt.
+/// Prompt, which determines the output of the engine.
 const PROMPT: &str = "Scene 2";
 
-/// An engine that gives a token each millisecond.
+/// Starts an engine that generates one token per millisecond.
 async fn engine() -> (std::net::SocketAddr, CancellationToken) {
     let listener = TcpListener::bind(("127.0.0.1", 0)).await.expect("a port");
     let addr = listener.local_addr().expect("an address");
@@ -65,7 +65,7 @@
     Arc::new(Backend::adopt(Millis(0), view, &[]))
 }
 
-/// A router before that engine, whose profile allows long outputs.
+/// Creates a router with this engine and a profile that allows long outputs.
 fn router_with_engine(addr: std::net::SocketAddr) -> Arc<Router> {
     let router = router();
     configure(&router);
@@ -80,7 +80,7 @@
     router
 }
 
-/// The tokens that the router has taken for its only request.
+/// Number of tokens that the router has received for its only request.
 fn received_tokens(router: &Router) -> u64 {
     let dump = router.registry.dump();
     dump.first()
@@ -88,7 +88,7 @@
         .unwrap_or(0)
 }
 
-/// Waits until the engine has given so many tokens.
+/// Waits until the engine has generated this number of tokens.
 async fn wait_for_tokens(addr: std::net::SocketAddr, tokens: u64) {
     for _ in 0..MAX_POLLS {
         let stats: Value = web::client::get(addr, "/stats", POLL_INTERVAL)
@@ -99,7 +99,7 @@
         }
         tokio::time::sleep(POLL_INTERVAL).await;
     }
-    panic!("the engine did not give {tokens} tokens");
+    panic!("the engine did not generate {tokens} tokens");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -111,18 +111,21 @@
     });
     let mut sender = connect(&router).await;
     let completion = request("POST", "/v1/completions", body.to_string());
-    let mut response = sender.send_request(completion).await.expect("a head comes");
+    let mut response = sender
+        .send_request(completion)
+        .await
+        .expect("the response head arrives");
 
-    // Nobody reads until the engine has given everything.
+    // The caller does not read until the engine has generated the whole output.
     let (length, _) = sequence::length(PROMPT, TOKENS);
     wait_for_tokens(addr, length).await;
     let held = received_tokens(&router);
-    assert!(held < MAX_HELD, "the router took {held} tokens");
+    assert!(held < MAX_HELD, "the router received {held} tokens");
 
     let mut text = String::new();
     while let Some(frame) = response.body_mut().frame().await {
         let data = frame
-            .expect("the stream is whole")
+            .expect("the stream is complete")
             .into_data()
             .unwrap_or_default();
         text.push_str(&String::from_utf8_lossy(&data));
