--- a/crates/gooseberry-router/src/context.rs
+++ b/crates/gooseberry-router/src/context.rs
@@ -17,7 +17,7 @@
 use crate::journals::Journals;
 use crate::links::Links;
 use crate::registry::Registry;
-use crate::services::repeat::Budgets;
+use crate::services::retry::Budgets;
 
 /// Shared state of a router process.
 pub struct Router {
--- a/crates/gooseberry-router/src/services.rs
+++ b/crates/gooseberry-router/src/services.rs
@@ -1,10 +1,12 @@
-//! `/v1/services/<service>/<path>`: calls to plain services.
+//! Calls to plain services: `/v1/services/<service>/<path>`.
+//!
+//! Idempotent calls are retried ([`retry`]); all others are sent at most once per key ([`once`]).
 
 pub mod clear;
 pub mod job;
 pub mod once;
 pub mod outcome;
-pub mod repeat;
+pub mod retry;
 pub mod rules;
 
 use std::sync::Arc;
@@ -24,16 +26,16 @@
 use crate::errors::{CallerError, Kind, Ran};
 use crate::services::job::Job;
 
-/// What the paths of calls start with.
+/// Path prefix of calls.
 pub const PREFIX: &str = "/v1/services/";
 
-/// The header with the version of the configuration under which an answer was made.
+/// Response header with the version of the configuration that applied to the call.
 const VERSION_HEADER: &str = "gooseberry-version";
 
-/// The header that tells a backend server the workspace of a call.
+/// Request header that names the workspace of a call to the backend server.
 const WORKSPACE_HEADER: HeaderName = HeaderName::from_static("gooseberry-workspace");
 
-/// Answers one call.
+/// Runs one call and returns its response.
 ///
 /// # Errors
 ///
@@ -47,7 +49,7 @@
     let document = &snapshot.document;
     let (parts, body) = request.into_parts();
     let workspace = auth::workspace(document, &parts.headers)?;
-    let (service, profile, uri) = find(document, &parts.uri)?;
+    let (service, profile, uri) = resolve(document, &parts.uri)?;
     let key = caller::key(&parts.headers)?;
     let body = reply::read_bytes(body, profile.limits.body_bytes)
         .await
@@ -63,7 +65,7 @@
         .concat(),
     );
     let call = Call {
-        headers: passed_on(&parts.headers, workspace.name.as_str()),
+        headers: forwarded_headers(&parts.headers, workspace.name.as_str()),
         method: parts.method,
         uri,
         body,
@@ -78,23 +80,23 @@
         call,
         arrived,
     );
-    let shown = job.key.clone();
-    let mut response = if rules::may_repeat(service, &job.call) {
-        repeat::run(router, &job, &profile.retry).await
+    let key = job.key.clone();
+    let mut response = if rules::is_idempotent(service, &job.call) {
+        retry::run(router, &job, &profile.retry).await
     } else {
         once::run(router, job).await
     };
     let headers = response.headers_mut();
-    if let Ok(value) = HeaderValue::from_str(&shown) {
+    if let Ok(value) = HeaderValue::from_str(&key) {
         headers.insert(KEY_HEADER, value);
     }
     headers.insert(VERSION_HEADER, HeaderValue::from(document.version.0));
     Ok(response)
 }
 
-/// The error of a host that takes no requests.
+/// Returns the error for a request that arrives while the host accepts none.
 ///
-/// A call whose key the caller chose may have run through another host.
+/// A call with a key may already have been run through another host, so its `ran` is unknown.
 pub fn not_ready<T>(request: &Request<T>, reason: &str) -> CallerError {
     let error = CallerError::not_run(Kind::NotReady, reason).retry_after(1);
     let is_call = request.uri().path().starts_with(PREFIX);
@@ -107,13 +109,13 @@
     error
 }
 
-/// The service that a path names, its profile, and the rest of the path.
-fn find<'a>(
+/// Resolves a call path to the service, its profile and the URI to request from the backend server.
+fn resolve<'a>(
     document: &'a Document,
     uri: &Uri,
 ) -> Result<(&'a Service, &'a Profile, Uri), CallerError> {
-    let whole = uri.path_and_query().map_or("", |p| p.as_str());
-    let rest = whole.strip_prefix(PREFIX).unwrap_or_default();
+    let path_query = uri.path_and_query().map_or("", |p| p.as_str());
+    let rest = path_query.strip_prefix(PREFIX).unwrap_or_default();
     let end = rest.find(['/', '?']).unwrap_or(rest.len());
     let (name, path) = rest.split_at(end);
     let path = if path.starts_with('/') {
@@ -133,16 +135,16 @@
     }
 }
 
-/// The headers that reach the backend server; [`Job::new`] adds the key.
-fn passed_on(headers: &HeaderMap, workspace: &str) -> HeaderMap {
-    let mut passed = HeaderMap::new();
+/// Returns the headers to forward to the backend server; [`Job::new`] adds the key.
+fn forwarded_headers(headers: &HeaderMap, workspace: &str) -> HeaderMap {
+    let mut forwarded = HeaderMap::new();
     for name in [ACCEPT, CONTENT_TYPE] {
         if let Some(value) = headers.get(&name) {
-            passed.insert(name, value.clone());
+            forwarded.insert(name, value.clone());
         }
     }
     if let Ok(value) = HeaderValue::from_str(workspace) {
-        passed.insert(WORKSPACE_HEADER, value);
+        forwarded.insert(WORKSPACE_HEADER, value);
     }
-    passed
+    forwarded
 }
--- a/crates/gooseberry-router/src/services/clear.rs
+++ b/crates/gooseberry-router/src/services/clear.rs
@@ -1,7 +1,8 @@
-//! The clearing of rows whose time of keeping is over.
+//! Deletion of call rows whose retention period has expired.
 //!
-//! The rows are divided into parts, and each part is cleared by one host of those alive. Two hosts
-//! that clear the same part do no harm: a row is taken away only at the version that was read.
+//! The rows are partitioned, and rendezvous hashing assigns each partition to one live host. Two
+//! hosts that scan the same partition do no harm: a row is deleted only at the version that was
+//! read.
 
 use std::sync::Arc;
 
@@ -11,39 +12,39 @@
 use store::wire::{Expect, Op, Scan, Transact, Write};
 use web::client::CallError;
 
-use crate::claims::{held, platform};
+use crate::claims::{parse_row, platform};
 use crate::context::Router;
 use crate::services::job::wall_ms;
 
-/// The time between two reads of the table.
-const PAUSE: Millis = Millis(1_000);
+/// Delay between two reads of the table.
+const SCAN_INTERVAL: Millis = Millis(1_000);
 
-/// The most rows in one read.
-const PAGE: usize = 500;
+/// Maximum number of rows in one read.
+const PAGE_ROWS: usize = 500;
 
-/// Clears for ever.
-pub async fn follow(router: Arc<Router>) {
+/// Scans the partitions of this host forever.
+pub async fn run(router: Arc<Router>) {
     loop {
         for part in 0..PARTITIONS {
-            if is_own(&router, part) {
+            if is_assigned(&router, part) {
                 clear_part(&router, part).await;
-                router.timer.after(PAUSE).await;
+                router.timer.after(SCAN_INTERVAL).await;
             }
         }
-        router.timer.after(PAUSE).await;
+        router.timer.after(SCAN_INTERVAL).await;
     }
 }
 
-/// Whether this host clears `part`.
-fn is_own(router: &Router, part: u64) -> bool {
+/// Whether partition `part` is assigned to this host.
+fn is_assigned(router: &Router, part: u64) -> bool {
     let snapshot = router.snapshot();
     let key = partition_prefix(part);
     let live = snapshot.hosts.iter().filter(|h| h.alive && !h.leaving);
-    let first = live.max_by_key(|h| rendezvous(&key, h.host.as_str()));
-    first.is_some_and(|h| h.host == router.settings.host)
+    let assigned = live.max_by_key(|h| rendezvous(&key, h.host.as_str()));
+    assigned.is_some_and(|h| h.host == router.settings.host)
 }
 
-/// Clears the rows of one part.
+/// Deletes the expired rows of one partition.
 pub async fn clear_part(router: &Router, part: u64) {
     let mut after = String::new();
     loop {
@@ -52,17 +53,17 @@
             Ok(None) => return,
             Err(cause) => {
                 log::warn!(
-                    "old calls not cleared host={} part={part} cause=\"{cause}\"",
+                    "expired call rows not deleted host={} part={part} cause=\"{cause}\"",
                     router.settings.host
                 );
                 return;
             }
         }
-        router.timer.after(PAUSE).await;
+        router.timer.after(SCAN_INTERVAL).await;
     }
 }
 
-/// Clears one page; returns the key after which the next begins, if there is one.
+/// Deletes the expired rows of one page; returns its last key, or `None` if it is the last page.
 async fn clear_page(
     router: &Router,
     prefix: String,
@@ -71,35 +72,35 @@
     let scan = Scan {
         prefix,
         after: after.to_owned(),
-        limit: PAGE,
+        limit: PAGE_ROWS,
     };
     let rows = platform(router).scan(&scan).await?;
     let last = rows.last().map(|r| r.key.clone());
-    let is_last = rows.len() < PAGE;
+    let is_last = rows.len() < PAGE_ROWS;
     let now = wall_ms();
     let mut ops = Vec::new();
     for row in rows {
         let key = row.key.clone();
-        let Some(held) = held(row).filter(|h| h.record.until_ms < now) else {
+        let Some(stored) = parse_row(row).filter(|s| s.record.until_ms < now) else {
             continue;
         };
-        clear_object(router, &held).await?;
+        delete_object(router, &stored).await?;
         ops.push(Op {
             key,
-            expect: Expect::Version(held.version),
+            expect: Expect::Version(stored.version),
             write: Write::Delete,
         });
     }
     if !ops.is_empty() {
-        // A row that changed meanwhile keeps the page for the next round.
+        // If a row changed since the read, the whole transaction fails, and the next scan retries.
         platform(router).transact(&Transact { ops }).await?;
     }
     Ok(last.filter(|_| !is_last))
 }
 
-/// Takes away the body that a row names.
-async fn clear_object(router: &Router, held: &VersionedRecord) -> Result<(), CallError> {
-    if let State::Done(outcome) = &held.record.state
+/// Deletes the stored body that a row refers to, if any.
+async fn delete_object(router: &Router, stored: &VersionedRecord) -> Result<(), CallError> {
+    if let State::Done(outcome) = &stored.record.state
         && let Body::Object(name) = &outcome.body
     {
         platform(router).delete_object(name).await?;
--- a/crates/gooseberry-router/src/services/repeat.rs
+++ b/crates/gooseberry-router/src/services/retry.rs
@@ -1,4 +1,4 @@
-//! Carries out the tries of a call that may repeat.
+//! Runs an idempotent call: sends it to one server after another until one answers.
 
 use std::sync::Mutex;
 
@@ -19,10 +19,10 @@
 use crate::services::job::Job;
 use crate::services::outcome;
 
-/// The seconds after which it helps to ask again.
-const COME_BACK: u64 = 1;
+/// Value of `retry-after`, in seconds.
+const RETRY_AFTER_S: u64 = 1;
 
-/// The retries that the calls of each service have earned.
+/// Retry budget of each service.
 #[derive(Debug, Default)]
 pub struct Budgets {
     services: Mutex<Sorted<ServiceName, RetryBudget>>,
@@ -35,19 +35,20 @@
     }
 }
 
-/// Why a try has no answer.
-enum Missed {
-    /// Nothing was sent.
-    Unsent(Option<BackendId>),
-    /// It may have run.
+/// Reason why an attempt failed.
+enum AttemptError {
+    /// Nothing was sent; names the server, if one was selected.
+    NotSent(Option<BackendId>),
+    /// The call was sent and may have run.
     Sent(BackendId, Failure),
 }
 
-/// Makes tries until one is answered.
+/// Makes attempts until one succeeds, the attempts or the retry budget are used up, or the deadline
+/// passes.
 pub async fn run(router: &Router, job: &Job, retry: &Retry) -> Response {
     let number = router.registry.insert(&job.name);
-    let limit = Millis(retry.try_ms.max(1));
-    let mut call = Attempts::new(retry.tries, limit, job.times.deadline);
+    let time_limit = Millis(retry.try_ms.max(1));
+    let mut call = Attempts::new(retry.tries, time_limit, job.times.deadline);
     let mut ran = Ran::NotRun;
     let mut response = None;
     router
@@ -56,31 +57,31 @@
     while let Some(next) = next(router, job, &mut call) {
         match attempt(router, job, &next).await {
             Ok(reply) => {
-                response = Some(outcome::whole(reply));
+                response = Some(outcome::reply_response(reply));
                 break;
             }
-            Err(Missed::Unsent(backend)) => {
+            Err(AttemptError::NotSent(backend)) => {
                 call.record_failure(backend.unwrap_or_default(), Failure::Error);
             }
-            Err(Missed::Sent(backend, failure)) => {
+            Err(AttemptError::Sent(backend, failure)) => {
                 ran = Ran::Unknown;
                 call.record_failure(backend, failure);
             }
         }
         log::warn!(
-            "try failed key={} host={} tries={}",
+            "attempt failed key={} host={} tries={}",
             job.name,
             router.settings.host,
             call.count()
         );
-        // Metrics that cannot be sent are no concern of the caller.
+        // A metric that cannot be sent must not affect the request.
         let _ = router.metrics.count("calls.try_failed", 1);
     }
     router.registry.remove(number);
-    response.unwrap_or_else(|| failed(ran).response())
+    response.unwrap_or_else(|| no_answer(ran).response())
 }
 
-/// The next try, if the call has one left.
+/// Returns the next attempt, if one is allowed.
 fn next(router: &Router, job: &Job, call: &mut Attempts) -> Option<Attempt> {
     let now = router.timer.now();
     router
@@ -88,10 +89,10 @@
         .with(&job.service, |budget| call.next(now, budget))
 }
 
-/// Makes one try.
-async fn attempt(router: &Router, job: &Job, next: &Attempt) -> Result<Reply, Missed> {
-    let mut placed =
-        place(router, &job.want(&next.avoid)).map_err(|_: NoBackend| Missed::Unsent(None))?;
+/// Selects a server and makes one attempt.
+async fn attempt(router: &Router, job: &Job, next: &Attempt) -> Result<Reply, AttemptError> {
+    let mut placed = place(router, &job.want(&next.avoid))
+        .map_err(|_: NoBackend| AttemptError::NotSent(None))?;
     let answered = attempt_at(router, job, next, &placed.backend.view).await;
     let now = router.timer.now();
     match answered {
@@ -101,45 +102,45 @@
     answered
 }
 
-/// Makes one try at a server.
+/// Makes one attempt at the given server.
 async fn attempt_at(
     router: &Router,
     job: &Job,
     next: &Attempt,
-    seen: &BackendView,
-) -> Result<Reply, Missed> {
-    let backend = || seen.backend.clone();
-    let left = || next.deadline.since(router.timer.now()).duration();
-    // Each try has a connection of its own, so a silent one is never used again.
-    let connection = Connection::open(seen.addr, left())
+    view: &BackendView,
+) -> Result<Reply, AttemptError> {
+    let backend = || view.backend.clone();
+    let remaining = || next.deadline.since(router.timer.now()).duration();
+    // Each attempt opens its own connection, so an unresponsive one is never reused.
+    let connection = Connection::open(view.addr, remaining())
         .await
-        .map_err(|_| Missed::Unsent(Some(backend())))?;
-    match connection.call(job.call.clone(), left()).await {
-        Ok(reply) if is_refusal(&reply) => Err(Missed::Sent(backend(), Failure::Error)),
+        .map_err(|_| AttemptError::NotSent(Some(backend())))?;
+    match connection.call(job.call.clone(), remaining()).await {
+        Ok(reply) if is_unavailable(&reply) => Err(AttemptError::Sent(backend(), Failure::Error)),
         Ok(reply) => Ok(reply),
-        Err(CallError::Timeout { .. }) => Err(Missed::Sent(backend(), Failure::Timeout)),
-        Err(_) => Err(Missed::Sent(backend(), Failure::Error)),
+        Err(CallError::Timeout { .. }) => Err(AttemptError::Sent(backend(), Failure::Timeout)),
+        Err(_) => Err(AttemptError::Sent(backend(), Failure::Error)),
     }
 }
 
-/// Whether another server may do better.
-fn is_refusal(reply: &Reply) -> bool {
-    let refusals = [
+/// Whether the status is a gateway or availability error, after which another server may succeed.
+fn is_unavailable(reply: &Reply) -> bool {
+    let statuses = [
         StatusCode::BAD_GATEWAY,
         StatusCode::SERVICE_UNAVAILABLE,
         StatusCode::GATEWAY_TIMEOUT,
     ];
-    refusals
+    statuses
         .iter()
         .any(|status| status.as_u16() == reply.status)
 }
 
-/// The error of a call without an answer.
-fn failed(ran: Ran) -> CallerError {
+/// Returns the error for a call that no server answered.
+fn no_answer(ran: Ran) -> CallerError {
     CallerError {
         kind: Kind::BadGateway,
-        message: "no backend server answered in time; repeat the call".to_owned(),
+        message: "no backend server answered in time; retry the call".to_owned(),
         ran,
-        retry_after: Some(COME_BACK),
+        retry_after: Some(RETRY_AFTER_S),
     }
 }
--- a/crates/gooseberry-router/tests/late_start.rs
+++ b/crates/gooseberry-router/tests/late_start.rs
@@ -1,4 +1,4 @@
-//! Output that does not begin within the deadline: the caller has its answer at once.
+//! A generation whose output does not begin within the deadline is answered with an error then.
 
 mod common;
 
@@ -14,10 +14,10 @@
 use serde_json::json;
 use tokio::net::TcpListener;
 
-/// A router whose only engine takes connections and never answers.
-async fn before_a_mute_engine() -> (Arc<Router>, TcpListener) {
+/// Creates a router whose only engine accepts connections and never answers.
+async fn router_with_unresponsive_engine() -> (Arc<Router>, TcpListener) {
     let listener = TcpListener::bind(("127.0.0.1", 0)).await.expect("a port");
-    let seen = BackendView {
+    let view = BackendView {
         backend: BackendId::from("mute"),
         service: ServiceName::from("draft-model"),
         data_centre: DataCentre::from("vn-south-a"),
@@ -40,18 +40,18 @@
     configure(&router);
     let configured = router.snapshot();
     router.swap(Snapshot {
-        backends: vec![Arc::new(Backend::adopt(Millis(0), seen, &[]))],
+        backends: vec![Arc::new(Backend::adopt(Millis(0), view, &[]))],
         ..(*configured).clone()
     });
     (router, listener)
 }
 
 #[tokio::test]
-async fn mute_engine() {
-    let (router, _listener) = before_a_mute_engine().await;
+async fn unresponsive_engine() {
+    let (router, _listener) = router_with_unresponsive_engine().await;
     let body = json!({ "model": "draft-model", "prompt": "Scene 1", "max_tokens": 5 });
-    let asked = request("POST", "/v1/completions", body.to_string());
-    let answer = send(&router, asked).await;
+    let completion = request("POST", "/v1/completions", body.to_string());
+    let answer = send(&router, completion).await;
     assert_eq!(
         answer.status,
         StatusCode::SERVICE_UNAVAILABLE,
@@ -59,7 +59,7 @@
         answer.body
     );
     assert_eq!(answer.body["kind"], "overloaded");
-    // The engine may have begun: it is not said that nothing was run.
+    // The engine may have started the generation, so `not_run` would be wrong.
     assert_eq!(answer.body["ran"], "unknown");
     assert_eq!(answer.headers["retry-after"], "1");
 }
--- a/crates/gooseberry-router/tests/site/mod.rs
+++ b/crates/gooseberry-router/tests/site/mod.rs
@@ -24,13 +24,13 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::sync::CancellationToken;
 
-/// The longest wait of a test for one answer.
+/// Time limit of one request of a test.
 pub(crate) const LIMIT: Duration = Duration::from_secs(20);
 
-/// The data centre of everything.
-const HERE: &str = "vn-south-a";
+/// Data centre of all hosts and backend servers.
+const DATA_CENTRE: &str = "vn-south-a";
 
-/// A deployment; its servers end with it.
+/// A deployment; dropping it stops its routers and platform.
 pub(crate) struct Site {
     pub(crate) platform: SocketAddr,
     pub(crate) routers: Vec<Arc<Router>>,
@@ -44,15 +44,15 @@
     }
 }
 
-/// An answer as a caller sees it.
+/// Response to a call, as the caller receives it.
 #[derive(Clone, Debug)]
-pub(crate) struct Seen {
+pub(crate) struct CallAnswer {
     pub(crate) status: u16,
     pub(crate) headers: HeaderMap,
     pub(crate) text: String,
 }
 
-impl Seen {
+impl CallAnswer {
     pub(crate) fn json(&self) -> Value {
         serde_json::from_str(&self.text).unwrap_or(Value::Null)
     }
@@ -64,7 +64,7 @@
 }
 
 impl Site {
-    /// Starts routers before these backend servers.
+    /// Starts a platform and routers that use these backend servers.
     pub(crate) async fn start(
         routers: usize,
         backends: &[SocketAddr],
@@ -93,7 +93,7 @@
     async fn add_router(&mut self, i: usize, backends: &[SocketAddr], document: &Document) {
         let settings = json!({
             "host": format!("entry-{i}"),
-            "data_centre": HERE,
+            "data_centre": DATA_CENTRE,
             "listen": { "callers": "127.0.0.1:1", "peers": "127.0.0.1:1", "admin": "127.0.0.1:1" },
             "agent": "127.0.0.1:1",
             "platform": self.platform,
@@ -102,13 +102,13 @@
         let settings = serde_json::from_value(settings).expect("settings");
         let metrics = telemetry::metrics::start("router", "test", None).expect("metrics");
         let router = Arc::new(Router::new(settings, Timer::start(), metrics));
-        let seen = |(n, addr): (usize, &SocketAddr)| {
+        let adopt = |(n, addr): (usize, &SocketAddr)| {
             Arc::new(Backend::adopt(Millis(0), backend(n, *addr), &[]))
         };
         router.swap(Snapshot {
             document: Arc::new(document.clone()),
             hosts: vec![host(i)],
-            backends: backends.iter().enumerate().map(seen).collect(),
+            backends: backends.iter().enumerate().map(adopt).collect(),
             drain: false,
             agent: None,
         });
@@ -132,7 +132,7 @@
         path: &str,
         key: &str,
         body: &str,
-    ) -> Seen {
+    ) -> CallAnswer {
         let addr = self.callers[router];
         let mut request = Request::builder()
             .method(method)
@@ -149,21 +149,21 @@
             .await
             .expect("an answer");
         let (parts, body) = response.into_parts();
-        let bytes = body.collect().await.expect("a whole body").to_bytes();
-        Seen {
+        let bytes = body.collect().await.expect("a complete body").to_bytes();
+        CallAnswer {
             status: parts.status.as_u16(),
             headers: parts.headers,
             text: String::from_utf8_lossy(&bytes).into_owned(),
         }
     }
 
-    /// Confirms a booking: a call that may not repeat.
-    pub(crate) async fn confirm(&self, router: usize, key: &str) -> Seen {
+    /// Confirms a booking: a call that is not idempotent.
+    pub(crate) async fn confirm(&self, router: usize, key: &str) -> CallAnswer {
         self.call(router, Method::POST, "/confirm", key, "gaffer, Tuesday")
             .await
     }
 
-    /// Switches a fault of the platform.
+    /// Sets or clears faults of the platform.
     pub(crate) async fn switch(&self, switch: Switch) {
         let _: Value = web::client::call(self.platform, Method::POST, "/faults", &switch, LIMIT)
             .await
@@ -171,7 +171,7 @@
     }
 }
 
-/// A plain service stand-in.
+/// Starts a stand-in of a plain service.
 pub(crate) async fn stand_in(stop: &CancellationToken) -> SocketAddr {
     let (listener, addr) = listen().await;
     tokio::spawn(service::run(
@@ -182,13 +182,13 @@
     addr
 }
 
-/// How often a stand-in ran `key`.
+/// Number of times that a stand-in ran the call with `key`.
 pub(crate) async fn runs(addr: SocketAddr, key: &str) -> u64 {
     let runs: Vec<service::RunCount> = web::client::get(addr, "/runs", LIMIT).await.expect("runs");
     runs.iter().find(|r| r.key == key).map_or(0, |r| r.count)
 }
 
-/// A server of one line of behaviour; each call is noted by its key.
+/// Fake backend server with a fixed behaviour, which records the key of each call.
 #[derive(Clone, Default)]
 pub(crate) struct Fake {
     /// The keys of the calls that ran.
@@ -197,29 +197,29 @@
     pub(crate) closed: Arc<Mutex<Vec<String>>>,
 }
 
-/// What a [`Fake`] does with a call that it ran.
+/// Behaviour of a [`Fake`] after it has run a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Manner {
-    /// Closes the connection.
-    Die,
-    /// Answers the first call after so many milliseconds, the others at once.
-    Late(u64),
+pub(crate) enum Behaviour {
+    /// Closes the connection without an answer.
+    Disconnect,
+    /// Answers the first call after this many milliseconds, the others at once.
+    SlowFirst(u64),
 }
 
 impl Fake {
-    /// Serves for as long as the test runs.
-    pub(crate) async fn serve(&self, manner: Manner) -> SocketAddr {
+    /// Serves until the end of the test.
+    pub(crate) async fn serve(&self, behaviour: Behaviour) -> SocketAddr {
         let (listener, addr) = listen().await;
         let fake = self.clone();
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(fake.clone().connection(stream, manner));
+                tokio::spawn(fake.clone().connection(stream, behaviour));
             }
         });
         addr
     }
 
-    async fn connection(self, mut stream: TcpStream, manner: Manner) {
+    async fn connection(self, mut stream: TcpStream, behaviour: Behaviour) {
         let mut head = vec![0; 4_096];
         loop {
             let Ok(count @ 1..) = stream.read(&mut head).await else {
@@ -229,22 +229,25 @@
             let key = text.split("idempotency-key: ").nth(1).unwrap_or_default();
             let key = key.lines().next().unwrap_or_default().to_owned();
             let is_first = {
-                let mut ran = self.ran.lock().expect("a list");
+                let mut ran = self.ran.lock().expect("the lock is not poisoned");
                 ran.push(key.clone());
                 ran.len() == 1
             };
-            match manner {
-                Manner::Die => return,
-                Manner::Late(ms) if is_first => {
+            match behaviour {
+                Behaviour::Disconnect => return,
+                Behaviour::SlowFirst(ms) if is_first => {
                     let mut byte = [0];
                     let wait =
                         tokio::time::timeout(Duration::from_millis(ms), stream.read(&mut byte));
                     if wait.await.is_ok() {
-                        self.closed.lock().expect("a list").push(key);
+                        self.closed
+                            .lock()
+                            .expect("the lock is not poisoned")
+                            .push(key);
                         return;
                     }
                 }
-                Manner::Late(_) => {}
+                Behaviour::SlowFirst(_) => {}
             }
             let answer = format!(
                 "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{key}",
@@ -257,7 +260,7 @@
     }
 }
 
-/// One plain service; a GET of `/status` may be repeated.
+/// Configuration with one plain service; only `GET /status` is idempotent.
 pub(crate) fn document(deadline_ms: u64) -> Document {
     let document = json!({
         "version": 1,
@@ -270,8 +273,8 @@
     serde_json::from_value(document).expect("a document")
 }
 
-/// An address where nothing listens.
-pub(crate) async fn nowhere() -> SocketAddr {
+/// Returns an address on which nothing listens.
+pub(crate) async fn unused_address() -> SocketAddr {
     let (listener, addr) = listen().await;
     drop(listener);
     addr
@@ -284,12 +287,12 @@
 }
 
 fn host(i: usize) -> HostView {
-    let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
+    let unused = SocketAddr::from(([127, 0, 0, 1], 1));
     HostView {
         host: HostId(format!("entry-{i}")),
-        data_centre: DataCentre::from(HERE),
-        router: nowhere,
-        agent: nowhere,
+        data_centre: DataCentre::from(DATA_CENTRE),
+        router: unused,
+        agent: unused,
         incarnation: None,
         leaving: false,
         alive: true,
@@ -300,12 +303,12 @@
     BackendView {
         backend: BackendId(format!("booking-{n}")),
         service: ServiceName::from("booking-app"),
-        data_centre: DataCentre::from(HERE),
+        data_centre: DataCentre::from(DATA_CENTRE),
         addr,
         incarnation: None,
         leaving: false,
         alive: true,
-        // The first is the least loaded, so that each call goes there first.
+        // The first server has the least load, so that each call goes there first.
         running: n as u64 * 10,
         queued: 0,
         slots: 0,
