--- a/crates/gooseberry-agent/src/admin.rs
+++ b/crates/gooseberry-agent/src/admin.rs
@@ -8,12 +8,12 @@
 
 use membership::Members;
 
-use crate::operate;
+use crate::operator;
 use crate::shared::{Agent, SharedAgent};
 
 /// Answers one request.
 pub async fn handle(agent: SharedAgent, request: Request<Incoming>) -> Response {
-    let request = match operate::handle(&agent, request).await {
+    let request = match operator::handle(&agent, request).await {
         Ok(response) => return response,
         Err(other) => other,
     };
@@ -49,7 +49,7 @@
     } else if is_leaving {
         "the host is leaving; use another".to_owned()
     } else {
-        format!("no configuration: {}", agent.spread.lack())
+        format!("no configuration: {}", agent.distribution.missing_reason())
     };
     Readiness {
         ready,
@@ -67,8 +67,8 @@
         "incarnation": agent.incarnation,
         "now_ms": agent.timer.now(),
         "view": view,
-        "is_fresh": agent.spread.is_fresh(),
-        "adoptions": agent.spread.adoptions(),
+        "is_fresh": agent.distribution.is_fresh(),
+        "adoptions": agent.distribution.adoptions(),
         "traffic": base::traffic::total(),
         "members": agent.members(|m| json!(m)),
     })
--- a/crates/gooseberry-agent/src/caches.rs
+++ b/crates/gooseberry-agent/src/caches.rs
@@ -13,49 +13,49 @@
 
 /// The blocks of one engine.
 #[derive(Clone, Debug, Default)]
-pub struct Blocks {
+pub struct CachedBlocks {
     incarnation: Incarnation,
     /// The number of the last event taken in.
-    seq: u64,
+    last_seq: u64,
     /// The sampled blocks, sorted.
-    pub held: Vec<u64>,
+    pub hashes: Vec<u64>,
 }
 
-impl Blocks {
+impl CachedBlocks {
     /// Takes in events; returns whether the blocks have changed.
-    pub fn take(&mut self, news: &CacheEvents) -> bool {
-        let is_new = self.incarnation != news.incarnation;
+    pub fn apply_events(&mut self, response: &CacheEvents) -> bool {
+        let is_new = self.incarnation != response.incarnation;
         if is_new {
             *self = Self {
-                incarnation: news.incarnation,
+                incarnation: response.incarnation,
                 ..Self::default()
             };
         }
-        let changes = news.events.iter().filter(|e| self.is_change(e)).count();
-        for event in &news.events {
-            self.seq = self.seq.max(event.seq);
+        let changes = response.events.iter().filter(|e| self.is_change(e)).count();
+        for event in &response.events {
+            self.last_seq = self.last_seq.max(event.seq);
             self.apply(event);
         }
         is_new || changes > 0
     }
 
     /// The number of the last event taken in.
-    pub fn seq(&self) -> u64 {
-        self.seq
+    pub fn last_seq(&self) -> u64 {
+        self.last_seq
     }
 
     fn is_change(&self, event: &CacheEvent) -> bool {
-        is_sampled(event.block) && event.stored != self.held.binary_search(&event.block).is_ok()
+        is_sampled(event.block) && event.stored != self.hashes.binary_search(&event.block).is_ok()
     }
 
     fn apply(&mut self, event: &CacheEvent) {
         if !is_sampled(event.block) {
             return;
         }
-        match (self.held.binary_search(&event.block), event.stored) {
-            (Err(i), true) if self.held.len() < MAX_BLOCKS => self.held.insert(i, event.block),
+        match (self.hashes.binary_search(&event.block), event.stored) {
+            (Err(i), true) if self.hashes.len() < MAX_BLOCKS => self.hashes.insert(i, event.block),
             (Ok(i), false) => {
-                self.held.remove(i);
+                self.hashes.remove(i);
             }
             _ => {}
         }
@@ -69,7 +69,7 @@
         ticks.next().await;
         for (backend, addr) in engines(&agent) {
             let agent = agent.clone();
-            tokio::spawn(async move { read(&agent, backend, addr).await });
+            tokio::spawn(async move { read_events(&agent, backend, addr).await });
         }
     }
 }
@@ -77,9 +77,9 @@
 /// The engines that answer; a plain service knows nothing of cache events and would take the
 /// question for a call of its own.
 fn engines(agent: &Agent) -> Vec<(BackendId, SocketAddr)> {
-    let services = agent.read(|known| {
+    let services = agent.read(|state| {
         let is_model = |s: &&Service| s.kind == Kind::Model;
-        let models = known.held.document().services.iter().filter(is_model);
+        let models = state.config.document().services.iter().filter(is_model);
         models.map(|s| s.name.clone()).collect::<Vec<_>>()
     });
     agent.members(|members| {
@@ -90,11 +90,16 @@
 }
 
 /// Reads the events of one engine.
-async fn read(agent: &Agent, backend: BackendId, addr: SocketAddr) {
+async fn read_events(agent: &Agent, backend: BackendId, addr: SocketAddr) {
     let limit = Millis(agent.settings.load_ms).duration();
-    let after = agent.read(|known| known.caches.get(&backend).map_or(0, Blocks::seq));
-    let Ok(news) = engine::client::cache_events(addr, after, limit).await else {
+    let after = agent.read(|state| state.caches.get(&backend).map_or(0, CachedBlocks::last_seq));
+    let Ok(response) = engine::client::cache_events(addr, after, limit).await else {
         return;
     };
-    agent.change(|known| known.caches.entry(backend, Blocks::default).take(&news));
+    agent.change(|state| {
+        state
+            .caches
+            .entry(backend, CachedBlocks::default)
+            .apply_events(&response)
+    });
 }
--- a/crates/gooseberry-agent/src/commit.rs
+++ b/crates/gooseberry-agent/src/commit.rs
@@ -7,29 +7,29 @@
 use profiles::document::Document;
 use store::config::HeadRow;
 
+use crate::distribution::{adopt, sync_platform};
 use crate::shared::{Agent, SharedAgent};
-use crate::spread::{adopt, read_store};
 
 /// How long a proposal is tried.
-const LIMIT: Millis = Millis(5_000);
+const COMMIT_TIMEOUT: Millis = Millis(5_000);
 
 /// The pause after a call without a usable answer.
-const PAUSE: Millis = Millis(200);
+const RETRY_PAUSE: Millis = Millis(200);
 
 /// Carries a proposal out, or says what became of it.
 pub async fn commit(agent: &SharedAgent, proposal: Proposal) -> Outcome {
     let base = proposal.base;
-    let mut commit = Commit::new(proposal, agent.timer.now() + LIMIT);
+    let mut commit = Commit::new(proposal, agent.timer.now() + COMMIT_TIMEOUT);
     let mut head = HeadRow::default();
     let mut step = Step::Read;
     loop {
         step = match step {
             Step::Read => {
-                let seen = look(agent, base, &mut head).await;
-                commit.on_read(agent.timer.now(), seen.as_ref())
+                let state = read_state(agent, base, &mut head).await;
+                commit.on_read(agent.timer.now(), state.as_ref())
             }
             Step::ReadLater => {
-                agent.timer.after(PAUSE).await;
+                agent.timer.after(RETRY_PAUSE).await;
                 Step::Read
             }
             Step::Write(document, revision) => {
@@ -42,10 +42,10 @@
 }
 
 /// Reads the head and what goes with it; `None` if that cannot be done now.
-async fn look(agent: &Agent, base: Version, head: &mut HeadRow) -> Option<StoreState> {
+async fn read_state(agent: &Agent, base: Version, head: &mut HeadRow) -> Option<StoreState> {
     *head = agent.platform.head().await.ok()?;
-    read_store(agent).await.ok()?;
-    let document = agent.read(|k| k.held.document().clone());
+    sync_platform(agent).await.ok()?;
+    let document = agent.read(|s| s.config.document().clone());
     // The head has moved on since it was read.
     if document.version != head.version {
         return None;
--- a/crates/gooseberry-agent/src/spread.rs
+++ b/crates/gooseberry-agent/src/distribution.rs
@@ -20,25 +20,25 @@
 use crate::shared::{Agent, SharedAgent};
 
 /// How long the agent that is followed may hold an answer back without news, in milliseconds.
-const WAIT: Millis = Millis(1_000);
+const MAX_HOLD: Millis = Millis(1_000);
 
 /// The time limit of a call beyond the time for which it may be held back.
-const GRACE: Duration = Duration::from_millis(500);
+const CALL_MARGIN: Duration = Duration::from_millis(500);
 
 /// How long an agent that gave no answer is left out.
-const AVOID: Millis = Millis(3_000);
+const AVOID_TIME: Millis = Millis(3_000);
 
 /// How long what was read from the platform counts as fresh.
-const FRESH: Millis = Millis(1_500);
+const FRESH_TTL: Millis = Millis(1_500);
 
 /// The time that the first link has to bring a version that the second one has told of.
-const LEAD: Millis = Millis(100);
+const FALLBACK_DELAY: Millis = Millis(100);
 
 /// The most agents of other data centres that are asked at once.
-const ELSEWHERE: usize = 8;
+const MAX_REMOTE_PEERS: usize = 8;
 
 /// The adoptions that are kept for the state dump.
-const ADOPTIONS: usize = 2_048;
+const MAX_ADOPTIONS: usize = 2_048;
 
 /// What agents that follow this one wait for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -49,12 +49,12 @@
 
 /// The state of spreading.
 #[derive(Debug)]
-pub struct Spread {
+pub struct Distribution {
     signal: watch::Sender<Signal>,
     inner: Mutex<Inner>,
 }
 
-/// The part of [`Spread`] that changes.
+/// The part of [`Distribution`] that changes.
 #[derive(Debug, Default)]
 struct Inner {
     /// Until when agents are left out, by host.
@@ -62,15 +62,15 @@
     /// Until when the platform's accepted version counts as known.
     fresh_until: Millis,
     /// Why there is no configuration.
-    lack: String,
+    missing_reason: String,
     /// When each version was adopted, in milliseconds of Unix time.
     adoptions: Vec<(Version, u64)>,
 }
 
-impl Default for Spread {
+impl Default for Distribution {
     fn default() -> Self {
         let inner = Inner {
-            lack: "the platform and the peers have not answered yet".to_owned(),
+            missing_reason: "the platform and the peers have not answered yet".to_owned(),
             ..Inner::default()
         };
         Self {
@@ -80,10 +80,10 @@
     }
 }
 
-impl Spread {
+impl Distribution {
     /// Why there is no configuration.
-    pub fn lack(&self) -> String {
-        self.with(|i| i.lack.clone())
+    pub fn missing_reason(&self) -> String {
+        self.with(|i| i.missing_reason.clone())
     }
 
     /// The latest adoptions: versions, and when they came into force in milliseconds of Unix time.
@@ -100,25 +100,25 @@
         change(&mut self.inner.lock().unwrap_or_else(|e| e.into_inner()))
     }
 
-    fn note_fresh(&self, now: Millis) {
-        self.with(|i| i.fresh_until = now + FRESH);
+    fn mark_fresh(&self, now: Millis) {
+        self.with(|i| i.fresh_until = now + FRESH_TTL);
         self.signal
             .send_if_modified(|s| !std::mem::replace(&mut s.is_fresh, true));
     }
 
-    fn note_stale(&self, now: Millis) {
-        let is_over = self.with(|i| now >= i.fresh_until);
-        if is_over {
+    fn expire_fresh(&self, now: Millis) {
+        let is_expired = self.with(|i| now >= i.fresh_until);
+        if is_expired {
             self.signal
                 .send_if_modified(|s| std::mem::replace(&mut s.is_fresh, false));
         }
     }
 
-    fn note_version(&self, version: Version) {
+    fn record_adoption(&self, version: Version) {
         let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
         let at = elapsed.map_or(0, |e| u64::try_from(e.as_millis()).unwrap_or(0));
         self.with(|i| {
-            if i.adoptions.len() == ADOPTIONS {
+            if i.adoptions.len() == MAX_ADOPTIONS {
                 i.adoptions.remove(0);
             }
             i.adoptions.push((version, at));
@@ -134,43 +134,44 @@
 /// Keeps the configuration up to date for ever.
 pub async fn run(agent: SharedAgent) {
     start(&agent).await;
-    join(changes(&agent), versions(&agent)).await;
+    join(follow_changes(&agent), follow_versions(&agent)).await;
 }
 
 /// Answers an agent that follows this one.
 pub async fn answer(agent: &Agent, ask: Ask) -> Changes {
-    let mut signal = agent.spread.signal.subscribe();
+    let mut signal = agent.distribution.signal.subscribe();
     let was_fresh = signal.borrow_and_update().is_fresh;
-    let is_news = |s: &Signal| s.version > ask.after || s.is_fresh != was_fresh;
-    let waited = signal.wait_for(is_news);
+    let is_change = |s: &Signal| s.version > ask.after || s.is_fresh != was_fresh;
+    let waited = signal.wait_for(is_change);
     // Without news the answer tells just that.
     let _ = tokio::time::timeout(Millis(ask.wait_ms).duration(), waited).await;
     // Checked by the clock as well, in case this agent's own loops are held up.
     let now = agent.timer.now();
-    let is_fresh = agent.spread.is_fresh() && agent.spread.with(|i| now < i.fresh_until);
-    agent.read(|known| Changes {
-        version: known.held.version(),
+    let is_fresh =
+        agent.distribution.is_fresh() && agent.distribution.with(|i| now < i.fresh_until);
+    agent.read(|state| Changes {
+        version: state.config.version(),
         is_fresh,
         news: if ask.is_brief {
             Update::Changes(Vec::new())
         } else {
-            known.held.update_since(ask.after)
+            state.config.update_since(ask.after)
         },
     })
 }
 
 /// Takes news into force if they are newer than what is held.
-pub fn adopt(agent: &Agent, news: Update) {
+pub fn adopt(agent: &Agent, update: Update) {
     let mut adopted = None;
-    agent.change(|known| {
-        let is_newer = known.held.apply(news);
-        adopted = is_newer.then(|| known.held.version());
+    agent.change(|state| {
+        let is_newer = state.config.apply(update);
+        adopted = is_newer.then(|| state.config.version());
         is_newer
     });
     if let Some(version) = adopted {
         let host = &agent.settings.host;
         log::info!("configuration in force host={host} version={version}");
-        agent.spread.note_version(version);
+        agent.distribution.record_adoption(version);
     }
 }
 
@@ -179,7 +180,7 @@
 /// # Errors
 ///
 /// The cause, if the platform cannot be read.
-pub async fn read_store(agent: &Agent) -> Result<(), String> {
+pub async fn sync_platform(agent: &Agent) -> Result<(), String> {
     let text = |e: web::client::CallError| e.to_string();
     let head = agent.platform.head().await.map_err(text)?;
     loop {
@@ -187,33 +188,35 @@
         if held >= head.version {
             break;
         }
-        let news = agent.platform.read_update(held, head.version).await;
-        adopt(agent, news.map_err(text)?);
+        let update = agent.platform.read_update(held, head.version).await;
+        adopt(agent, update.map_err(text)?);
         if agent.version() == held {
             return Err(format!("the revision after version {held} is missing"));
         }
     }
-    agent.spread.note_fresh(agent.timer.now());
+    agent.distribution.mark_fresh(agent.timer.now());
     Ok(())
 }
 
 /// Gets a first configuration: from the platform, else the highest version among all peers.
 async fn start(agent: &Agent) {
     while agent.version() == Version(0) {
-        match read_store(agent).await {
+        match sync_platform(agent).await {
             Ok(()) => {
-                let lack = "none was accepted yet; apply one with `gooseberryctl apply`";
-                agent.spread.with(|i| i.lack = lack.to_owned());
+                let reason = "none was accepted yet; apply one with `gooseberryctl apply`";
+                agent
+                    .distribution
+                    .with(|i| i.missing_reason = reason.to_owned());
             }
             Err(cause) => {
-                let peers = all_peers(agent);
-                let answered = ask_all(agent, &peers).await;
-                let lack = format!(
+                let peers = candidate_peers(agent);
+                let answered = fetch_peers(agent, &peers).await;
+                let reason = format!(
                     "the platform gives none ({cause}) and {answered} of {} peers answered, none \
                      of which holds any; bring the platform back or name more `peers`",
                     peers.len()
                 );
-                agent.spread.with(|i| i.lack = lack);
+                agent.distribution.with(|i| i.missing_reason = reason);
             }
         }
         if agent.version() == Version(0) {
@@ -223,7 +226,7 @@
 }
 
 /// Asks agents for what this one lacks; returns how many answered.
-async fn ask_all(agent: &Agent, peers: &[SocketAddr]) -> usize {
+async fn fetch_peers(agent: &Agent, peers: &[SocketAddr]) -> usize {
     let calls = peers.iter().map(|addr| async {
         let link = AgentLink::new(*addr);
         let ask = Ask {
@@ -231,7 +234,7 @@
             wait_ms: 0,
             is_brief: false,
         };
-        link.changes(ask, WAIT.duration()).await.ok()
+        link.changes(ask, MAX_HOLD.duration()).await.ok()
     });
     let answers: Vec<Changes> = join_all(calls).await.into_iter().flatten().collect();
     let count = answers.len();
@@ -242,74 +245,74 @@
 }
 
 /// Gets changes: from the platform, or from the first agent that is followed.
-async fn changes(agent: &Agent) {
-    let mut link = Link::default();
+async fn follow_changes(agent: &Agent) {
+    let mut link = FollowLink::default();
     loop {
-        let Role::Follow(links) = own_part(agent) else {
-            watch(agent).await;
+        let Role::Follow(links) = own_role(agent) else {
+            poll_platform(agent).await;
             agent.timer.after(Millis(agent.settings.poll_ms)).await;
             continue;
         };
-        let asked = link.ask(agent, &links[0], WAIT, false).await;
-        if asked.is_some_and(|c| c.is_fresh) {
-            agent.spread.note_fresh(agent.timer.now());
+        let changes = link.request(agent, &links[0], MAX_HOLD, false).await;
+        if changes.is_some_and(|c| c.is_fresh) {
+            agent.distribution.mark_fresh(agent.timer.now());
             continue;
         }
-        agent.spread.note_stale(agent.timer.now());
-        if !agent.spread.is_fresh() {
-            watch(agent).await;
+        agent.distribution.expire_fresh(agent.timer.now());
+        if !agent.distribution.is_fresh() {
+            poll_platform(agent).await;
         }
     }
 }
 
 /// Watches the version of the second agent that is followed, in case the first one fails.
-async fn versions(agent: &Agent) {
-    let mut link = Link::default();
+async fn follow_versions(agent: &Agent) {
+    let mut link = FollowLink::default();
     loop {
-        let Role::Follow(links) = own_part(agent) else {
+        let Role::Follow(links) = own_role(agent) else {
             agent.timer.after(Millis(agent.settings.poll_ms)).await;
             continue;
         };
-        let Some(told) = link.ask(agent, &links[1], WAIT, true).await else {
+        let Some(changes) = link.request(agent, &links[1], MAX_HOLD, true).await else {
             continue;
         };
-        if told.is_fresh {
-            agent.spread.note_fresh(agent.timer.now());
+        if changes.is_fresh {
+            agent.distribution.mark_fresh(agent.timer.now());
         }
-        if told.version <= agent.version() {
+        if changes.version <= agent.version() {
             continue;
         }
-        agent.timer.after(LEAD).await;
-        if told.version > agent.version() {
-            link.ask(agent, &links[1], Millis(0), false).await;
+        agent.timer.after(FALLBACK_DELAY).await;
+        if changes.version > agent.version() {
+            link.request(agent, &links[1], Millis(0), false).await;
         }
     }
 }
 
 /// Looks at the platform once; if it is away, at one other agent.
-async fn watch(agent: &Agent) {
-    let Err(cause) = read_store(agent).await else {
+async fn poll_platform(agent: &Agent) {
+    let Err(cause) = sync_platform(agent).await else {
         return;
     };
     let host = &agent.settings.host;
     log::warn!("configuration not read host={host} cause=\"{cause}\"");
-    agent.spread.note_stale(agent.timer.now());
-    let peers = all_peers(agent);
+    agent.distribution.expire_fresh(agent.timer.now());
+    let peers = candidate_peers(agent);
     if !peers.is_empty() {
         let i = rand::random_range(0..peers.len());
-        ask_all(agent, &peers[i..=i]).await;
+        fetch_peers(agent, &peers[i..=i]).await;
     }
 }
 
 /// A link to the agent that is followed now.
 #[derive(Default)]
-struct Link {
+struct FollowLink {
     link: Option<AgentLink>,
 }
 
-impl Link {
+impl FollowLink {
     /// Asks `host`; one that does not answer is left out for some time.
-    async fn ask(
+    async fn request(
         &mut self,
         agent: &Agent,
         host: &str,
@@ -326,37 +329,37 @@
             wait_ms: wait.0,
             is_brief,
         };
-        match link.changes(ask, wait.duration() + GRACE).await {
+        match link.changes(ask, wait.duration() + CALL_MARGIN).await {
             Ok(mut changes) => {
                 let empty = Update::Changes(Vec::new());
                 adopt(agent, std::mem::replace(&mut changes.news, empty));
                 Some(changes)
             }
             Err(e) => {
-                self.leave(agent, host, &e);
+                self.mark_failed(agent, host, &e);
                 None
             }
         }
     }
 
-    fn leave(&mut self, agent: &Agent, host: &str, cause: &LinkError) {
+    fn mark_failed(&mut self, agent: &Agent, host: &str, cause: &LinkError) {
         let own = &agent.settings.host;
         log::warn!("agent not followed host={own} other={host} cause=\"{cause}\"");
-        let until = agent.timer.now() + AVOID;
-        agent.spread.avoid(host, until);
+        let until = agent.timer.now() + AVOID_TIME;
+        agent.distribution.avoid(host, until);
         self.link = None;
     }
 }
 
 /// The part of this agent among those of its data centre that are not left out.
-fn own_part(agent: &Agent) -> Role {
+fn own_role(agent: &Agent) -> Role {
     let now = agent.timer.now();
-    let avoided = agent.spread.with(|i| {
+    let avoided = agent.distribution.with(|i| {
         i.avoided.retain(|_, until| *until > now);
         i.avoided.clone()
     });
-    agent.read(|known| {
-        let hosts = known.hosts.hosts.iter();
+    agent.read(|state| {
+        let hosts = state.hosts.hosts.iter();
         let live: Vec<&str> = hosts
             .filter(|h| matches!(h.kind, HostKind::Entry { .. }))
             .filter(|h| h.data_centre == agent.settings.data_centre)
@@ -369,8 +372,8 @@
 
 /// Where the agent of `host` takes calls.
 fn agent_address(agent: &Agent, host: &str) -> Option<SocketAddr> {
-    agent.read(|known| {
-        let hosts = &known.hosts.hosts;
+    agent.read(|state| {
+        let hosts = &state.hosts.hosts;
         let i = hosts.binary_search_by(|h| h.name.as_str().cmp(host)).ok()?;
         match hosts[i].kind {
             HostKind::Entry { agent, .. } => Some(agent),
@@ -380,24 +383,24 @@
 }
 
 /// The agents that may hold a configuration: of the settings, of this data centre, and some others.
-fn all_peers(agent: &Agent) -> Vec<SocketAddr> {
+fn candidate_peers(agent: &Agent) -> Vec<SocketAddr> {
     let mut peers = agent.settings.peers.clone();
-    let mut elsewhere = Vec::new();
-    agent.read(|known| {
-        for host in &known.hosts.hosts {
+    let mut remote = Vec::new();
+    agent.read(|state| {
+        for host in &state.hosts.hosts {
             let HostKind::Entry { agent: addr, .. } = host.kind else {
                 continue;
             };
             if host.data_centre == agent.settings.data_centre {
                 peers.push(addr);
             } else {
-                elsewhere.push(addr);
+                remote.push(addr);
             }
         }
     });
-    for _ in 0..ELSEWHERE.min(elsewhere.len()) {
-        let i = rand::random_range(0..elsewhere.len());
-        peers.push(elsewhere.swap_remove(i));
+    for _ in 0..MAX_REMOTE_PEERS.min(remote.len()) {
+        let i = rand::random_range(0..remote.len());
+        peers.push(remote.swap_remove(i));
     }
     peers.sort_unstable();
     peers.dedup();
--- a/crates/gooseberry-agent/src/drain.rs
+++ b/crates/gooseberry-agent/src/drain.rs
@@ -11,39 +11,39 @@
 use crate::shared::Agent;
 
 /// The time between looks at whether the router is still there.
-const LOOK: Millis = Millis(50);
+const CHECK_PERIOD: Millis = Millis(50);
 
 /// The time within which all peers have been told.
-const TELL: Millis = Millis(500);
+const ANNOUNCE_TIME: Millis = Millis(500);
 
 /// The longest wait for the router; it exceeds the time that a router itself waits at most.
-const LIMIT: Millis = Millis(15 * 60 * 1_000);
+const ROUTER_TIMEOUT: Millis = Millis(15 * 60 * 1_000);
 
 /// The longest wait for a connection to the router.
-const CONNECT_LIMIT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Waits until the host is to leave and everything is done for it.
 pub async fn wait(agent: &Agent, stop: &CancellationToken) {
     tokio::select! {
         () = stop.cancelled() => agent.members(Members::leave),
-        () = agent.until_leaving() => {}
+        () = agent.wait_leaving() => {}
     }
     log::info!("host leaves host={}", agent.settings.host);
     let started = agent.timer.now();
-    agent.timer.after(TELL).await;
-    while agent.timer.now().since(started) < LIMIT && has_router(agent).await {
-        agent.timer.after(LOOK).await;
+    agent.timer.after(ANNOUNCE_TIME).await;
+    while agent.timer.now().since(started) < ROUTER_TIMEOUT && is_router_running(agent).await {
+        agent.timer.after(CHECK_PERIOD).await;
     }
     log::info!("agent stopped host={}", agent.settings.host);
 }
 
 /// Whether the router of this host takes connections.
-async fn has_router(agent: &Agent) -> bool {
+async fn is_router_running(agent: &Agent) -> bool {
     let own = agent.members(|m| m.own().clone());
     if !own.place_confirmed {
         return false;
     }
-    let connected = timeout(CONNECT_LIMIT, TcpStream::connect(own.place.router)).await;
+    let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(own.place.router)).await;
     // A router that is only slow to accept is still there.
     !matches!(connected, Ok(Err(_)))
 }
--- a/crates/gooseberry-agent/src/heartbeats.rs
+++ b/crates/gooseberry-agent/src/heartbeats.rs
@@ -14,10 +14,10 @@
 use crate::shared::{Agent, SharedAgent};
 
 /// The time between looks at what is due.
-const LOOK: Millis = Millis(100);
+const TICK: Millis = Millis(100);
 
 /// The longest wait for the answer to a heartbeat.
-const BEAT_LIMIT: Duration = Duration::from_millis(1_000);
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Connections to other agents, by address.
 #[derive(Default)]
@@ -36,7 +36,7 @@
 
 /// Sends heartbeats and asks backend servers for ever.
 pub async fn run(agent: SharedAgent) {
-    let mut ticks = agent.timer.every(LOOK);
+    let mut ticks = agent.timer.every(TICK);
     loop {
         let now = ticks.next().await;
         let mut actions = Vec::new();
@@ -45,7 +45,7 @@
             let agent = agent.clone();
             match action {
                 Action::Heartbeat { host, addr } => tokio::spawn(async move {
-                    beat(&agent, host, addr).await;
+                    exchange_heartbeats(&agent, host, addr).await;
                 }),
                 Action::Poll { backend, addr } => tokio::spawn(async move {
                     poll(&agent, backend, addr).await;
@@ -56,21 +56,21 @@
 }
 
 /// Answers the heartbeat of another agent.
-pub fn answer(agent: &Agent, beat: Heartbeat) -> Heartbeat {
+pub fn answer(agent: &Agent, heartbeat: Heartbeat) -> Heartbeat {
     let now = agent.timer.now();
     agent.members(|m| {
-        let from = beat.host.clone();
-        m.receive(now, beat);
+        let from = heartbeat.host.clone();
+        m.receive(now, heartbeat);
         m.heartbeat(now, &from)
     })
 }
 
 /// Exchanges heartbeats with one agent.
-async fn beat(agent: &Agent, host: HostId, addr: SocketAddr) {
-    let question = agent.members(|m| m.heartbeat(agent.timer.now(), &host));
+async fn exchange_heartbeats(agent: &Agent, host: HostId, addr: SocketAddr) {
+    let request = agent.members(|m| m.heartbeat(agent.timer.now(), &host));
     let link = agent.links.get(addr);
     // The silence of a host is judged by the time since its last answer.
-    if let Ok(answer) = link.heartbeat(question, BEAT_LIMIT).await {
+    if let Ok(answer) = link.heartbeat(request, HEARTBEAT_TIMEOUT).await {
         agent.members(|m| m.receive(agent.timer.now(), answer));
     }
 }
--- a/crates/gooseberry-agent/src/lib.rs
+++ b/crates/gooseberry-agent/src/lib.rs
@@ -4,12 +4,12 @@
 pub mod admin;
 pub mod caches;
 pub mod commit;
+pub mod distribution;
 pub mod drain;
 pub mod gauges;
 pub mod heartbeats;
 pub mod members;
-pub mod operate;
+pub mod operator;
 pub mod run;
 pub mod shared;
-pub mod spread;
 pub mod watch;
--- a/crates/gooseberry-agent/src/operate.rs
+++ b/crates/gooseberry-agent/src/operator.rs
@@ -19,17 +19,17 @@
 use web::{Response, reply};
 
 use crate::commit::commit;
+use crate::distribution::sync_platform;
 use crate::shared::{Agent, SharedAgent};
-use crate::spread::read_store;
 
 /// The largest request body, in bytes.
-const MAX_BYTES: usize = 16 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
 /// How long another agent may take to say which version it has.
-const ABOUT: Duration = Duration::from_millis(1_000);
+const ABOUT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// The revisions that a history shows.
-const HISTORY: u64 = 50;
+const HISTORY_LENGTH: u64 = 50;
 
 /// Answers an operator's request; `None` if this is not one.
 pub async fn handle(
@@ -77,16 +77,16 @@
 }
 
 async fn show(agent: &Agent) -> Response {
-    let is_fresh = read_store(agent).await.is_ok();
-    let document = agent.read(|k| k.held.document().clone());
+    let is_fresh = sync_platform(agent).await.is_ok();
+    let document = agent.read(|s| s.config.document().clone());
     reply::json(StatusCode::OK, &Shown { document, is_fresh })
 }
 
 async fn history(agent: &Agent) -> Response {
-    let is_read = read_store(agent).await;
+    let synced = sync_platform(agent).await;
     let last = agent.version().0;
-    let first = (last + 1).saturating_sub(HISTORY).max(1);
-    let revisions: Result<Vec<Revision>, String> = match is_read {
+    let first = (last + 1).saturating_sub(HISTORY_LENGTH).max(1);
+    let revisions: Result<Vec<Revision>, String> = match synced {
         Ok(()) => {
             let read = agent.platform.revisions(first, last).await;
             read.map_err(|e| e.to_string())
@@ -103,22 +103,22 @@
 }
 
 async fn difference(agent: &Agent, request: Request<Incoming>) -> Response {
-    let mut wanted: Document = match reply::read_json(request, MAX_BYTES).await {
-        Ok(wanted) => wanted,
+    let mut desired: Document = match reply::read_json(request, MAX_BODY_BYTES).await {
+        Ok(desired) => desired,
         Err(e) => return error(StatusCode::BAD_REQUEST, "malformed", &e.to_string()),
     };
-    wanted.sort();
+    desired.sort();
     // Without the platform the answer is for the version that is in force here, and says so.
-    let _ = read_store(agent).await;
-    let answer = agent.read(|k| Difference {
-        version: k.held.version(),
-        changes: diff(k.held.document(), &wanted),
+    let _ = sync_platform(agent).await;
+    let answer = agent.read(|s| Difference {
+        version: s.config.version(),
+        changes: diff(s.config.document(), &desired),
     });
     reply::json(StatusCode::OK, &answer)
 }
 
 async fn apply(agent: &SharedAgent, request: Request<Incoming>) -> Response {
-    let proposal: Proposal = match reply::read_json(request, MAX_BYTES).await {
+    let proposal: Proposal = match reply::read_json(request, MAX_BODY_BYTES).await {
         Ok(proposal) => proposal,
         Err(e) => return error(StatusCode::BAD_REQUEST, "malformed", &e.to_string()),
     };
@@ -142,27 +142,27 @@
 
 /// All known entry hosts, each with what its agent says now.
 async fn hosts(agent: &Agent) -> Vec<HostState> {
-    let known: Vec<(HostState, SocketAddr)> = agent.read(|known| {
-        let list = known.hosts.hosts.iter();
+    let listed: Vec<(HostState, SocketAddr)> = agent.read(|state| {
+        let list = state.hosts.hosts.iter();
         list.filter_map(|host| match host.kind {
             HostKind::Entry { agent, .. } => {
-                let state = HostState {
+                let shown = HostState {
                     host: HostId(host.name.clone()),
                     data_centre: host.data_centre.clone(),
                     leaving: host.leaving,
                     about: None,
                 };
-                Some((state, agent))
+                Some((shown, agent))
             }
             HostKind::Backend { .. } => None,
         })
         .collect()
     });
-    let asked = known.into_iter().map(|(mut state, addr)| async move {
-        state.about = AgentLink::new(addr).about(ABOUT).await.ok();
-        state
+    let calls = listed.into_iter().map(|(mut shown, addr)| async move {
+        shown.about = AgentLink::new(addr).about(ABOUT_TIMEOUT).await.ok();
+        shown
     });
-    join_all(asked).await
+    join_all(calls).await
 }
 
 fn error(status: StatusCode, kind: &'static str, message: &str) -> Response {
--- a/crates/gooseberry-agent/src/run.rs
+++ b/crates/gooseberry-agent/src/run.rs
@@ -13,7 +13,7 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::shared::Agent;
-use crate::{admin, caches, drain, gauges, heartbeats, spread, watch};
+use crate::{admin, caches, distribution, drain, gauges, heartbeats, watch};
 
 /// Why an agent cannot start.
 #[derive(Debug, Error)]
@@ -39,8 +39,8 @@
 ///
 /// [`StartError`] if an address cannot be had.
 pub async fn run(settings: Settings, stop: CancellationToken) -> Result<(), StartError> {
-    let peers = bind(settings.listen.peers, "listen.peers").await?;
-    let operators = bind(settings.listen.admin, "listen.admin").await?;
+    let peer_listener = bind(settings.listen.peers, "listen.peers").await?;
+    let admin_listener = bind(settings.listen.admin, "listen.admin").await?;
     log::info!(
         "agent started host={} peers={} admin={}",
         settings.host,
@@ -50,40 +50,40 @@
     let metrics = telemetry::metrics::start("agent", settings.host.as_str(), settings.statsd)?;
     let agent = Arc::new(Agent::new(settings, Timer::start()));
     let loops = [
-        tokio::spawn(spread::run(agent.clone())),
+        tokio::spawn(distribution::run(agent.clone())),
         tokio::spawn(watch::hosts(agent.clone())),
         tokio::spawn(heartbeats::run(agent.clone())),
         tokio::spawn(caches::follow(agent.clone())),
         tokio::spawn(gauges::report(agent.clone(), metrics)),
     ];
-    let (viewed, asked, own) = (agent.clone(), agent.clone(), agent.clone());
-    let (beaten, left) = (agent.clone(), agent.clone());
+    let (for_view, for_changes, for_about) = (agent.clone(), agent.clone(), agent.clone());
+    let (for_heartbeat, for_leave) = (agent.clone(), agent.clone());
     let server = AgentServer {
         view: move |revision, version, wait| {
-            let agent = viewed.clone();
+            let agent = for_view.clone();
             async move {
-                agent.news(revision, wait).await;
+                agent.wait_revision(revision, wait).await;
                 agent.view(version)
             }
         },
         changes: move |ask: Ask| {
-            let agent = asked.clone();
-            async move { spread::answer(&agent, ask).await }
+            let agent = for_changes.clone();
+            async move { distribution::answer(&agent, ask).await }
         },
         about: move || About {
-            host: own.settings.host.clone(),
-            incarnation: own.incarnation,
-            admin: own.settings.listen.admin,
-            version: own.version(),
+            host: for_about.settings.host.clone(),
+            incarnation: for_about.incarnation,
+            admin: for_about.settings.listen.admin,
+            version: for_about.version(),
         },
-        heartbeat: move |beat| heartbeats::answer(&beaten, beat),
-        leave: move || left.members(Members::leave),
+        heartbeat: move |heartbeat| heartbeats::answer(&for_heartbeat, heartbeat),
+        leave: move || for_leave.members(Members::leave),
     };
     let end = CancellationToken::new();
-    let serving = tokio::spawn(peer::serve::agent(peers, end.clone(), server));
-    let (operated, ended) = (agent.clone(), end.clone());
-    let operating = tokio::spawn(web::server::serve(operators, ended, move |r| {
-        admin::handle(operated.clone(), r)
+    let serving = tokio::spawn(peer::serve::agent(peer_listener, end.clone(), server));
+    let (for_admin, admin_end) = (agent.clone(), end.clone());
+    let operating = tokio::spawn(web::server::serve(admin_listener, admin_end, move |r| {
+        admin::handle(for_admin.clone(), r)
     }));
     drain::wait(&agent, &stop).await;
     end.cancel();
--- a/crates/gooseberry-agent/src/shared.rs
+++ b/crates/gooseberry-agent/src/shared.rs
@@ -15,20 +15,20 @@
 use timer::Timer;
 use tokio::sync::watch;
 
-use crate::caches::Blocks;
+use crate::caches::CachedBlocks;
+use crate::distribution::Distribution;
 use crate::heartbeats::Links;
 use crate::members::{backend_views, host_views};
-use crate::spread::Spread;
 
 /// What an agent knows.
 #[derive(Debug, Default)]
-pub struct Known {
+pub struct AgentState {
     /// The configuration.
-    pub held: ConfigCache,
+    pub config: ConfigCache,
     /// The host list.
     pub hosts: HostList,
     /// What the engines hold in their caches.
-    pub caches: Sorted<BackendId, Blocks>,
+    pub caches: Sorted<BackendId, CachedBlocks>,
 }
 
 /// An agent.
@@ -42,11 +42,11 @@
     /// The platform.
     pub platform: Platform,
     /// How the configuration spreads.
-    pub spread: Spread,
+    pub distribution: Distribution,
     /// Connections to other agents.
     pub links: Links,
     members: Mutex<Members>,
-    known: Mutex<Known>,
+    state: Mutex<AgentState>,
     revision: watch::Sender<u64>,
 }
 
@@ -58,7 +58,7 @@
             limit: Millis(settings.platform_ms).duration(),
         };
         let incarnation = Incarnation(rand::random());
-        let own = own(&settings, timer.now(), incarnation);
+        let own = own_host(&settings, timer.now(), incarnation);
         let policy = Policy {
             poll_min: Millis(settings.load_ms),
             ..Policy::default()
@@ -68,23 +68,23 @@
             timer,
             incarnation,
             platform,
-            spread: Spread::default(),
+            distribution: Distribution::default(),
             links: Links::default(),
             members: Mutex::new(Members::new(own, policy)),
-            known: Mutex::default(),
+            state: Mutex::default(),
             revision: watch::Sender::new(1),
         }
     }
 
     /// Reads what is known.
-    pub fn read<T>(&self, read: impl FnOnce(&Known) -> T) -> T {
-        read(&self.known.lock().unwrap_or_else(|e| e.into_inner()))
+    pub fn read<T>(&self, read: impl FnOnce(&AgentState) -> T) -> T {
+        read(&self.state.lock().unwrap_or_else(|e| e.into_inner()))
     }
 
     /// Changes what is known; `change` says whether it did.
-    pub fn change(&self, change: impl FnOnce(&mut Known) -> bool) {
-        let mut known = self.known.lock().unwrap_or_else(|e| e.into_inner());
-        if change(&mut known) {
+    pub fn change(&self, change: impl FnOnce(&mut AgentState) -> bool) {
+        let mut state = self.state.lock().unwrap_or_else(|e| e.into_inner());
+        if change(&mut state) {
             self.revision.send_modify(|r| *r += 1);
         }
     }
@@ -106,23 +106,23 @@
     }
 
     /// Waits until this host takes no new work.
-    pub async fn until_leaving(&self) {
-        let mut news = self.revision.subscribe();
+    pub async fn wait_leaving(&self) {
+        let mut revisions = self.revision.subscribe();
         while !self.is_leaving() {
             // The sender is a part of this agent.
-            let _ = news.changed().await;
+            let _ = revisions.changed().await;
         }
     }
 
     /// The version of the configuration; 0 if there is none.
     pub fn version(&self) -> Version {
-        self.read(|k| k.held.version())
+        self.read(|s| s.config.version())
     }
 
     /// Waits until the revision differs from `revision` or `wait` has passed.
-    pub async fn news(&self, revision: u64, wait: Millis) {
-        let mut news = self.revision.subscribe();
-        let changed = news.wait_for(|r| *r != revision);
+    pub async fn wait_revision(&self, revision: u64, wait: Millis) {
+        let mut revisions = self.revision.subscribe();
+        let changed = revisions.wait_for(|r| *r != revision);
         let _ = tokio::time::timeout(wait.duration(), changed).await;
     }
 
@@ -135,17 +135,17 @@
             let leaving = m.own().lifecycle.leaving;
             (host_views(m), backend_views(m, now), leaving)
         });
-        self.read(|known| {
+        self.read(|state| {
             for view in &mut backends {
-                let held = known.caches.get(&view.backend);
-                view.blocks = held.map_or_else(Vec::new, |b| b.held.clone());
+                let cached = state.caches.get(&view.backend);
+                view.blocks = cached.map_or_else(Vec::new, |b| b.hashes.clone());
             }
-            let held = known.held.document();
+            let document = state.config.document();
             View {
                 revision,
                 incarnation: self.incarnation,
-                document: (held.version > version).then(|| held.clone()),
-                version: held.version,
+                document: (document.version > version).then(|| document.clone()),
+                version: document.version,
                 hosts,
                 backends,
                 drain,
@@ -155,7 +155,7 @@
 }
 
 /// The host of an agent; where its router is, the host list tells.
-fn own(settings: &Settings, now: Millis, incarnation: Incarnation) -> OwnHost {
+fn own_host(settings: &Settings, now: Millis, incarnation: Incarnation) -> OwnHost {
     let place = Place {
         data_centre: settings.data_centre.clone(),
         router: settings.listen.peers,
--- a/crates/gooseberry-agent/tests/config/apply.rs
+++ b/crates/gooseberry-agent/tests/config/apply.rs
@@ -32,7 +32,7 @@
 }
 
 #[tokio::test]
-async fn lost_answer() {
+async fn lost_response() {
     let site = Site::start(12, &["a"; 2]).await;
     let agents = site.agents();
     for base in 0..4 {
@@ -44,13 +44,13 @@
         );
     }
     // The same operation again, after its answer was lost on the way to the operator.
-    let repeated = agents[1].put(3, "w-3").await;
-    assert_eq!(repeated.1, json!({ "outcome": "accepted", "version": 4 }));
-    agents[1].until(4).await;
+    let retried = agents[1].put(3, "w-3").await;
+    assert_eq!(retried.1, json!({ "outcome": "accepted", "version": 4 }));
+    agents[1].wait_version(4).await;
 }
 
 #[tokio::test]
-async fn key_needed() {
+async fn key_required() {
     let site = Site::start(13, &["a"]).await;
     let one = agent(site.settings(0));
     one.state().await;
--- a/crates/gooseberry-agent/tests/config/spread.rs
+++ b/crates/gooseberry-agent/tests/config/distribution.rs
@@ -26,7 +26,7 @@
     }
     let mut documents = Vec::new();
     for one in &agents {
-        one.until(4).await;
+        one.wait_version(4).await;
         documents.push(one.state().await["view"]["document"].clone());
     }
     assert_eq!(documents[0]["workspaces"].as_array().map(Vec::len), Some(4));
@@ -34,12 +34,12 @@
 }
 
 #[tokio::test]
-async fn watchers_gone() {
+async fn watchers_stopped() {
     let site = Site::start(2, &["a"; 6]).await;
     let mut agents = site.agents();
     agents[0].put(0, "w").await;
     for one in &agents {
-        one.until(1).await;
+        one.wait_version(1).await;
     }
     let names: Vec<String> = (0..6).map(|i| format!("entry-{i}")).collect();
     let live: Vec<&str> = names.iter().map(String::as_str).collect();
@@ -51,7 +51,7 @@
     }
     assert_eq!(agents[0].put(1, "x").await.0, StatusCode::OK);
     for one in &agents {
-        one.until(2).await;
+        one.wait_version(2).await;
     }
 }
 
@@ -85,12 +85,12 @@
 }
 
 #[tokio::test]
-async fn store_down_long() {
+async fn platform_outage() {
     let site = Site::start(4, &["a"; 3]).await;
     let agents = site.agents();
     agents[0].put(0, "w").await;
     for one in &agents {
-        one.until(1).await;
+        one.wait_version(1).await;
     }
     site.faults(json!({ "outage": true })).await;
     let (status, body) = agents[1].put(1, "x").await;
@@ -103,7 +103,7 @@
     site.faults(json!({ "outage": false })).await;
     assert_eq!(agents[1].put(1, "x").await.0, StatusCode::OK);
     for one in &agents {
-        one.until(2).await;
+        one.wait_version(2).await;
     }
 }
 
@@ -126,24 +126,24 @@
     }
     agents[3].put(0, "w").await;
     for one in &agents {
-        one.until(1).await;
+        one.wait_version(1).await;
     }
     store.cut(true);
     peers.iter().for_each(|p| p.cut(true));
     // Calls that were under way when the relays were cut may still end with an answer.
     sleep(Duration::from_millis(100)).await;
     assert_eq!(agents[3].put(1, "x").await.0, StatusCode::OK);
-    agents[2].until(2).await;
+    agents[2].wait_version(2).await;
     assert_eq!(agents[0].version().await, 1);
     assert_eq!(get(agents[0].admin(), "/v1/ready").await["ready"], true);
     // The way over the other data centre is enough.
     peers.iter().for_each(|p| p.cut(false));
-    agents[0].until(2).await;
-    agents[1].until(2).await;
+    agents[0].wait_version(2).await;
+    agents[1].wait_version(2).await;
     store.cut(false);
     assert_eq!(agents[0].put(2, "y").await.0, StatusCode::OK);
     for one in &agents {
-        one.until(3).await;
+        one.wait_version(3).await;
     }
 }
 
@@ -167,15 +167,15 @@
         let kept = platform.write_snapshot(held.document()).await;
         kept.expect("a snapshot, if one is due");
     }
-    let gone = (1..=200).map(|version| Op {
+    let deletes = (1..=200).map(|version| Op {
         key: format!("config/change/{version}"),
         expect: Expect::Any,
         write: Write::Delete,
     });
-    let ops = gone.collect();
+    let ops = deletes.collect();
     platform.transact(&Transact { ops }).await.expect("a write");
     let one = agent(site.settings(0));
-    one.until(300).await;
+    one.wait_version(300).await;
     let document = &one.state().await["view"]["document"];
     assert_eq!(
         *document,
@@ -207,7 +207,7 @@
         agents[0].put(base, &format!("w-{base}")).await;
     }
     for one in &agents {
-        one.until(2).await;
+        one.wait_version(2).await;
     }
     site.faults(json!({ "outage": true })).await;
     let mut stopped = Vec::new();
@@ -222,7 +222,7 @@
     for mut settings in stopped {
         settings.peers = peers.clone();
         let started = agent(settings);
-        started.until(2).await;
+        started.wait_version(2).await;
         assert_eq!(get(started.admin(), "/v1/ready").await["ready"], true);
         agents.push(started);
     }
@@ -232,12 +232,12 @@
     // Now there is no peer that holds any.
     let mut settings = site.settings(0);
     settings.peers = peers;
-    let alone = agent(settings);
+    let isolated = agent(settings);
     let reason = loop {
-        let state = alone.state().await;
+        let state = isolated.state().await;
         assert_eq!(state["view"]["version"], 0);
         let ready = web::client::get::<serde_json::Value>(
-            alone.admin(),
+            isolated.admin(),
             "/v1/ready",
             Duration::from_secs(5),
         );
--- a/crates/gooseberry-agent/tests/config/site.rs
+++ b/crates/gooseberry-agent/tests/config/site.rs
@@ -21,10 +21,10 @@
 pub(crate) const KEY: &str = "operator-key";
 
 /// The longest wait for an outcome; no test asserts a time.
-const PATIENCE: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The time limit of a call, above that of a proposal.
-const CALL: Duration = Duration::from_secs(15);
+const CALL_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// A relay that can be cut.
 pub(crate) struct Relay {
@@ -38,13 +38,13 @@
         let listener = TcpListener::bind(from).await.expect("a free address");
         let cut = is_cut.clone();
         let task = tokio::spawn(async move {
-            let mut copies = JoinSet::new();
+            let mut connections = JoinSet::new();
             loop {
                 tokio::select! {
                     accepted = listener.accept() => {
                         let (mut near, _) = accepted.expect("a connection");
                         if !cut.load(Ordering::Relaxed) {
-                            copies.spawn(async move {
+                            connections.spawn(async move {
                                 let mut far = TcpStream::connect(to).await?;
                                 tokio::io::copy_bidirectional(&mut near, &mut far).await
                             });
@@ -52,7 +52,7 @@
                     }
                     () = sleep(Duration::from_millis(10)) => {
                         if cut.load(Ordering::Relaxed) {
-                            copies.abort_all();
+                            connections.abort_all();
                         }
                     }
                 }
@@ -73,13 +73,13 @@
 }
 
 /// A running agent.
-pub(crate) struct Running {
+pub(crate) struct RunningAgent {
     pub(crate) settings: Settings,
     stop: CancellationToken,
     task: JoinHandle<()>,
 }
 
-impl Running {
+impl RunningAgent {
     pub(crate) async fn stop(self) -> Settings {
         self.stop.cancel();
         self.task.await.expect("an orderly end");
@@ -100,8 +100,8 @@
     }
 
     /// Waits until the agent has `version`.
-    pub(crate) async fn until(&self, version: u64) {
-        let deadline = Instant::now() + PATIENCE;
+    pub(crate) async fn wait_version(&self, version: u64) {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         while self.version().await < version {
             let host = &self.settings.host;
             assert!(
@@ -134,7 +134,7 @@
             let value = format!("Bearer {key}").parse().expect("a header");
             request.headers_mut().insert("authorization", value);
         }
-        let response = web::client::send(addr, request, CALL)
+        let response = web::client::send(addr, request, CALL_TIMEOUT)
             .await
             .expect("an answer");
         let status = response.status();
@@ -209,27 +209,33 @@
         serde_json::from_value(value).expect("settings")
     }
 
-    pub(crate) fn agents(&self) -> Vec<Running> {
+    pub(crate) fn agents(&self) -> Vec<RunningAgent> {
         (0..self.hosts.len())
             .map(|i| agent(self.settings(i)))
             .collect()
     }
 
     pub(crate) async fn faults(&self, switch: Value) {
-        let _: Value = web::client::call(self.platform, Method::POST, "/faults", &switch, CALL)
-            .await
-            .expect("a switch");
+        let _: Value = web::client::call(
+            self.platform,
+            Method::POST,
+            "/faults",
+            &switch,
+            CALL_TIMEOUT,
+        )
+        .await
+        .expect("a switch");
     }
 }
 
 /// Starts an agent.
-pub(crate) fn agent(settings: Settings) -> Running {
+pub(crate) fn agent(settings: Settings) -> RunningAgent {
     let stop = CancellationToken::new();
     let (own, token) = (settings.clone(), stop.clone());
     let task = tokio::spawn(async move {
         run(own, token).await.expect("free addresses");
     });
-    Running {
+    RunningAgent {
         settings,
         stop,
         task,
@@ -238,9 +244,9 @@
 
 /// Reads from a process that may just be starting.
 pub(crate) async fn get(addr: SocketAddr, path: &str) -> Value {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     loop {
-        match web::client::get(addr, path, CALL).await {
+        match web::client::get(addr, path, CALL_TIMEOUT).await {
             Ok(value) => return value,
             Err(e) => assert!(Instant::now() < deadline, "{e}"),
         }
--- a/crates/gooseberry-agent/tests/gauges.rs
+++ b/crates/gooseberry-agent/tests/gauges.rs
@@ -7,7 +7,7 @@
 use tokio_util::sync::CancellationToken;
 
 /// The longest wait for a report.
-const PATIENCE: Duration = Duration::from_secs(20);
+const REPORT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// An address of this test's own.
 fn address(port: u16) -> SocketAddr {
@@ -17,7 +17,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn reports_arrive() {
     let statsd = UdpSocket::bind(address(7100)).expect("a socket");
-    statsd.set_read_timeout(Some(PATIENCE)).expect("a limit");
+    statsd
+        .set_read_timeout(Some(REPORT_TIMEOUT))
+        .expect("a limit");
     let settings = json!({
         "host": "entry-0",
         "data_centre": "vn-south-a",
--- a/crates/gooseberryctl/src/client.rs
+++ b/crates/gooseberryctl/src/client.rs
@@ -17,13 +17,13 @@
 use crate::outcome::CommandError;
 
 /// The longest wait for an answer; above the time for which an agent tries a proposal.
-const LIMIT: Duration = Duration::from_secs(10);
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// How often a proposal is sent when its answer does not come; its operation id makes that safe.
-const TRIES: usize = 3;
+const MAX_ATTEMPTS: usize = 3;
 
 /// The variable that holds the operators' key.
-const KEY: &str = "GOOSEBERRY_KEY";
+const KEY_VARIABLE: &str = "GOOSEBERRY_KEY";
 
 /// An agent, and the key that it asks for.
 #[derive(Clone, Debug)]
@@ -45,7 +45,7 @@
                 let file = file.clone();
                 CommandError::Unreadable { file, cause }
             })?,
-            None => std::env::var(KEY).map_err(|_| CommandError::NoKey)?,
+            None => std::env::var(KEY_VARIABLE).map_err(|_| CommandError::NoKey)?,
         };
         let key = key.trim().to_owned();
         Ok(Self { addr, key })
@@ -69,13 +69,13 @@
         self.call(Method::GET, "/v1/config/history", &()).await
     }
 
-    /// The changes that make `wanted` of the accepted configuration.
+    /// The changes that make `desired` of the accepted configuration.
     ///
     /// # Errors
     ///
     /// `Call` or `Unauthorized`.
-    pub async fn diff(&self, wanted: &Document) -> Result<Difference, CommandError> {
-        self.call(Method::POST, "/v1/config/diff", wanted).await
+    pub async fn diff(&self, desired: &Document) -> Result<Difference, CommandError> {
+        self.call(Method::POST, "/v1/config/diff", desired).await
     }
 
     /// All known entry hosts.
@@ -94,7 +94,7 @@
     /// `Unauthorized`, or `Call` if it was certainly not received.
     pub async fn apply(&self, proposal: &Proposal) -> Result<Outcome, CommandError> {
         let mut may_be_received = false;
-        for _ in 0..TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             match self.send(Method::POST, "/v1/config/apply", proposal).await {
                 Ok((StatusCode::UNAUTHORIZED, body)) => {
                     return Err(CommandError::Unauthorized(message(&body)));
@@ -117,7 +117,7 @@
     /// # Errors
     ///
     /// `NoHost`, `Call` or `Unauthorized`.
-    pub async fn at_host(
+    pub async fn call_host(
         &self,
         host: &str,
         method: Method,
@@ -166,7 +166,7 @@
         if let Ok(value) = format!("Bearer {}", self.key).parse() {
             request.headers_mut().insert("authorization", value);
         }
-        let response = web::client::send(self.addr, request, LIMIT).await?;
+        let response = web::client::send(self.addr, request, CALL_TIMEOUT).await?;
         let status = response.status();
         match web::client::read_whole(self.addr, response).await {
             Ok(bytes) => Ok((status, String::from_utf8_lossy(&bytes).into_owned())),
--- a/crates/gooseberryctl/src/commands.rs
+++ b/crates/gooseberryctl/src/commands.rs
@@ -36,24 +36,24 @@
             limit,
             directory,
         } => {
-            let plan = Plan {
+            let apply_options = ApplyOptions {
                 json,
                 base: base.map(Version),
                 wait: wait.then(|| Duration::from_secs(*limit)),
             };
-            apply(&plan, &client()?, directory).await
+            apply(&apply_options, &client()?, directory).await
         }
         Command::Show => show(json, &client()?).await,
         Command::History => history(json, &client()?).await,
         Command::Retire { kind, name } => retire(json, &client()?, *kind, name).await,
         Command::Hosts => hosts(json, &client()?).await,
         Command::State { host } => {
-            let state = client()?.at_host(host, Method::GET, "/v1/state").await?;
+            let state = client()?.call_host(host, Method::GET, "/v1/state").await?;
             print(&state);
             Ok(Exit::Done)
         }
         Command::Drain { host } => {
-            let answer = client()?.at_host(host, Method::POST, "/v1/drain").await?;
+            let answer = client()?.call_host(host, Method::POST, "/v1/drain").await?;
             print(&answer);
             Ok(Exit::Done)
         }
@@ -61,7 +61,7 @@
 }
 
 /// How a change is applied.
-struct Plan {
+struct ApplyOptions {
     json: bool,
     base: Option<Version>,
     /// How long to wait until it is in force everywhere.
@@ -95,29 +95,33 @@
 }
 
 async fn diff(json: bool, client: &Client, directory: &Path) -> Result<Exit, CommandError> {
-    let wanted = declarations::read(directory).map_err(CommandError::Declarations)?;
-    let difference = client.diff(&wanted).await?;
+    let desired = declarations::read(directory).map_err(CommandError::Declarations)?;
+    let difference = client.diff(&desired).await?;
     if json {
         print(&difference);
         return Ok(Exit::Done);
     }
-    let held = client.show().await?.document;
+    let accepted = client.show().await?.document;
     println!("against version {}:", difference.version);
-    print_changes(&held, &difference.changes);
+    print_changes(&accepted, &difference.changes);
     Ok(Exit::Done)
 }
 
-async fn apply(plan: &Plan, client: &Client, directory: &Path) -> Result<Exit, CommandError> {
-    let wanted = declarations::read(directory).map_err(CommandError::Declarations)?;
-    let difference = client.diff(&wanted).await?;
-    let base = plan.base.unwrap_or(difference.version);
-    if !plan.json {
-        let held = client.show().await?.document;
-        print_changes(&held, &difference.changes);
+async fn apply(
+    apply_options: &ApplyOptions,
+    client: &Client,
+    directory: &Path,
+) -> Result<Exit, CommandError> {
+    let desired = declarations::read(directory).map_err(CommandError::Declarations)?;
+    let difference = client.diff(&desired).await?;
+    let base = apply_options.base.unwrap_or(difference.version);
+    if !apply_options.json {
+        let accepted = client.show().await?.document;
+        print_changes(&accepted, &difference.changes);
     }
     if difference.changes.is_empty() && base == difference.version {
         let accepted = Outcome::Accepted { version: base };
-        return finish(plan, client, &accepted).await;
+        return finish(apply_options, client, &accepted).await;
     }
     let proposal = Proposal {
         base,
@@ -125,7 +129,7 @@
         changes: difference.changes,
     };
     let outcome = client.apply(&proposal).await?;
-    finish(plan, client, &outcome).await
+    finish(apply_options, client, &outcome).await
 }
 
 async fn retire(json: bool, client: &Client, kind: Kind, name: &str) -> Result<Exit, CommandError> {
@@ -140,25 +144,33 @@
         changes: vec![change],
     };
     let outcome = client.apply(&proposal).await?;
-    let plan = Plan {
+    let apply_options = ApplyOptions {
         json,
         base: None,
         wait: None,
     };
-    finish(&plan, client, &outcome).await
+    finish(&apply_options, client, &outcome).await
 }
 
 /// Says how a proposal ended, and waits for it if asked to.
-async fn finish(plan: &Plan, client: &Client, outcome: &Outcome) -> Result<Exit, CommandError> {
+async fn finish(
+    apply_options: &ApplyOptions,
+    client: &Client,
+    outcome: &Outcome,
+) -> Result<Exit, CommandError> {
     let Outcome::Accepted { version } = outcome else {
-        return Ok(not_accepted(plan.json, outcome));
+        return Ok(not_accepted(apply_options.json, outcome));
     };
-    let Some(limit) = plan.wait else {
-        say(plan.json, outcome, &format!("accepted: version {version}"));
+    let Some(limit) = apply_options.wait else {
+        print_result(
+            apply_options.json,
+            outcome,
+            &format!("accepted: version {version}"),
+        );
         return Ok(Exit::Done);
     };
-    let progress = wait::until_in_force(client, *version, limit, |p| {
-        if !plan.json {
+    let progress = wait::wait_in_force(client, *version, limit, |p| {
+        if !apply_options.json {
             let all = p.done + p.lagging.len();
             println!("version {version} in force on {} of {all} hosts", p.done);
         }
@@ -167,15 +179,15 @@
     let lagging = wait::describe(&progress.lagging);
     let value = json!({ "outcome": "accepted", "version": version, "lagging": progress.lagging });
     if progress.lagging.is_empty() {
-        say(
-            plan.json,
+        print_result(
+            apply_options.json,
             &value,
             &format!("accepted: version {version}, in force everywhere"),
         );
         return Ok(Exit::Done);
     }
-    say(
-        plan.json,
+    print_result(
+        apply_options.json,
         &value,
         &format!("accepted: version {version}, lagging: {lagging}"),
     );
@@ -207,7 +219,7 @@
             (Exit::Unknown, text)
         }
     };
-    say(json, outcome, &text);
+    print_result(json, outcome, &text);
     exit
 }
 
@@ -231,7 +243,7 @@
         return Ok(Exit::Done);
     }
     for revision in revisions {
-        let entries: Vec<String> = revision.changes.iter().map(line).collect();
+        let entries: Vec<String> = revision.changes.iter().map(change_line).collect();
         let (version, operation) = (revision.version, revision.operation);
         println!("{version} {operation}: {}", entries.join(", "));
     }
@@ -255,20 +267,20 @@
     Ok(Exit::Done)
 }
 
-fn print_changes(held: &Document, changes: &[Change]) {
+fn print_changes(accepted: &Document, changes: &[Change]) {
     if changes.is_empty() {
         println!("nothing would change");
     }
     for change in changes {
-        println!("{}", line(change));
-        for (place, old, new) in fields(held, change) {
+        println!("{}", change_line(change));
+        for (place, old, new) in changed_fields(accepted, change) {
             println!("    {place}: {old} -> {new}");
         }
     }
 }
 
 /// A change in one line.
-fn line(change: &Change) -> String {
+fn change_line(change: &Change) -> String {
     let verb = if is_retirement(change) {
         "retire"
     } else {
@@ -278,23 +290,28 @@
 }
 
 /// The fields of an entry that a change replaces, with their old and new values.
-fn fields(held: &Document, change: &Change) -> Vec<(String, Value, Value)> {
+fn changed_fields(accepted: &Document, change: &Change) -> Vec<(String, Value, Value)> {
     let (old, new) = match change {
-        Change::PutProfile(p) => (json!(held.profile(&p.name)), json!(p)),
-        Change::PutService(s) => (json!(held.service(s.name.as_str())), json!(s)),
-        Change::PutWorkspace(w) => (json!(held.workspace_named(&w.name)), json!(w)),
+        Change::PutProfile(p) => (json!(accepted.profile(&p.name)), json!(p)),
+        Change::PutService(s) => (json!(accepted.service(s.name.as_str())), json!(s)),
+        Change::PutWorkspace(w) => (json!(accepted.workspace_named(&w.name)), json!(w)),
         _ => return Vec::new(),
     };
     let mut found = Vec::new();
     // A new entry is told by its name alone.
     if !old.is_null() {
-        compare("", &old, &new, &mut found);
+        collect_differences("", &old, &new, &mut found);
     }
     found
 }
 
 /// Collects where two values differ.
-fn compare(place: &str, old: &Value, new: &Value, found: &mut Vec<(String, Value, Value)>) {
+fn collect_differences(
+    place: &str,
+    old: &Value,
+    new: &Value,
+    found: &mut Vec<(String, Value, Value)>,
+) {
     let (Value::Object(before), Value::Object(after)) = (old, new) else {
         if old != new {
             found.push((place.to_owned(), old.clone(), new.clone()));
@@ -308,7 +325,7 @@
             format!("{place}.{name}")
         };
         let was = before.get(name).unwrap_or(&Value::Null);
-        compare(&inner, was, value, found);
+        collect_differences(&inner, was, value, found);
     }
 }
 
@@ -317,7 +334,7 @@
     OperationId(format!("{:016x}", rand::random::<u64>()))
 }
 
-fn say<T: Serialize>(json: bool, value: &T, text: &str) {
+fn print_result<T: Serialize>(json: bool, value: &T, text: &str) {
     if json {
         print(value);
     } else {
--- a/crates/gooseberryctl/src/wait.rs
+++ b/crates/gooseberryctl/src/wait.rs
@@ -10,7 +10,7 @@
 use crate::outcome::CommandError;
 
 /// The time between two looks at the hosts.
-const LOOK: Duration = Duration::from_millis(250);
+const POLL_PERIOD: Duration = Duration::from_millis(250);
 
 /// How far a version has come.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -26,35 +26,35 @@
 /// # Errors
 ///
 /// `Call` or `Unauthorized`.
-pub async fn until_in_force(
+pub async fn wait_in_force(
     client: &Client,
     version: Version,
     limit: Duration,
-    say: impl Fn(&Progress),
+    on_change: impl Fn(&Progress),
 ) -> Result<Progress, CommandError> {
     let deadline = Instant::now() + limit;
     let mut last = None;
     loop {
         let progress = progress(&client.hosts().await?, version);
         if last.as_ref() != Some(&progress) {
-            say(&progress);
+            on_change(&progress);
         }
         if progress.lagging.is_empty() || Instant::now() > deadline {
             return Ok(progress);
         }
         last = Some(progress);
-        sleep(LOOK).await;
+        sleep(POLL_PERIOD).await;
     }
 }
 
 /// How far `version` has come on `hosts`.
 pub fn progress(hosts: &[HostState], version: Version) -> Progress {
-    let held = |h: &HostState| h.about.as_ref().map(|a| a.version);
-    let has = |h: &&HostState| held(h).is_some_and(|v| v >= version);
+    let version_of = |h: &HostState| h.about.as_ref().map(|a| a.version);
+    let has = |h: &&HostState| version_of(h).is_some_and(|v| v >= version);
     let lagging = hosts.iter().filter(|h| !has(h));
     Progress {
         done: hosts.iter().filter(has).count(),
-        lagging: lagging.map(|h| (h.host.clone(), held(h))).collect(),
+        lagging: lagging.map(|h| (h.host.clone(), version_of(h))).collect(),
     }
 }
 
--- a/crates/gooseberryctl/tests/answers.rs
+++ b/crates/gooseberryctl/tests/answers.rs
@@ -19,8 +19,8 @@
 async fn apply(script: Vec<Value>) -> (Option<i32>, Vec<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("an address");
-    let seen = Arc::new(Mutex::new(Vec::new()));
-    let (operations, script) = (seen.clone(), Arc::new(script));
+    let received = Arc::new(Mutex::new(Vec::new()));
+    let (operations, script) = (received.clone(), Arc::new(script));
     let stop = CancellationToken::new();
     tokio::spawn(web::server::serve(listener, stop, move |request| {
         let (operations, script) = (operations.clone(), script.clone());
@@ -38,7 +38,11 @@
                     let mut operations = operations.lock().expect("no panic");
                     operations.push(proposal.operation.0);
                     let answer = &script[operations.len() - 1];
-                    if answer.is_null() { lost() } else { ok(answer) }
+                    if answer.is_null() {
+                        truncated()
+                    } else {
+                        ok(answer)
+                    }
                 }
             }
         }
@@ -52,7 +56,7 @@
         .arg(example);
     let output = tokio::task::spawn_blocking(move || command.output());
     let output = output.await.expect("no panic").expect("the program runs");
-    let operations = seen.lock().expect("no panic").clone();
+    let operations = received.lock().expect("no panic").clone();
     (output.status.code(), operations)
 }
 
@@ -61,14 +65,14 @@
 }
 
 /// An answer that breaks off.
-fn lost() -> Response {
+fn truncated() -> Response {
     let (sender, response) = reply::events();
     sender.abort(StreamCut);
     response
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn read_back() {
+async fn retry_after_lost_response() {
     let accepted = json!({ "outcome": "accepted", "version": 4 });
     let (code, operations) = apply(vec![Value::Null, accepted]).await;
     assert_eq!(code, Some(0));
@@ -81,8 +85,8 @@
     let unknown = json!({ "outcome": "unknown", "operation": "op" });
     assert_eq!(apply(vec![unknown]).await.0, Some(4));
     // After a lost answer, an agent without the platform says nothing of the first try.
-    let away = json!({ "outcome": "unavailable" });
-    let script = vec![Value::Null, away.clone(), away.clone()];
+    let unavailable = json!({ "outcome": "unavailable" });
+    let script = vec![Value::Null, unavailable.clone(), unavailable.clone()];
     assert_eq!(apply(script).await.0, Some(4));
-    assert_eq!(apply(vec![away]).await.0, Some(1));
+    assert_eq!(apply(vec![unavailable]).await.0, Some(1));
 }
--- a/crates/gooseberryctl/tests/apply.rs
+++ b/crates/gooseberryctl/tests/apply.rs
@@ -139,7 +139,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn looks() {
+async fn read_commands() {
     let site = Site::start(2).await;
     site.run("key", &["apply", "."]).await;
     let parsed = |text: &str| serde_json::from_str::<Value>(text).expect("JSON");
--- a/crates/gooseberryctl/tests/examples.rs
+++ b/crates/gooseberryctl/tests/examples.rs
@@ -21,7 +21,7 @@
 
 /// Reads the settings of all hosts and returns their data centres, in order of name.
 fn hosts(name: &str) -> Vec<String> {
-    let mut centres = Vec::new();
+    let mut data_centres = Vec::new();
     for i in 1..=8 {
         let folder = example(name).join(format!("settings/entry-{i}"));
         let agent: Agent = settings::load(&folder.join("agent.json")).expect("agent settings");
@@ -31,16 +31,16 @@
         assert_eq!(router.data_centre, agent.data_centre);
         assert_eq!(agent.peers.len(), 7);
         assert!(agent.operator_digest.is_some());
-        centres.push(agent.data_centre.0);
+        data_centres.push(agent.data_centre.0);
     }
-    centres.sort();
-    centres.dedup();
-    centres
+    data_centres.sort();
+    data_centres.dedup();
+    data_centres
 }
 
-/// How many workers of a service stand in the host list, which must list the entry hosts as their
+/// How many backend servers of a service stand in the host list, which must list the entry hosts as their
 /// settings do.
-fn workers(name: &str, service: &str) -> usize {
+fn backend_count(name: &str, service: &str) -> usize {
     let list: Vec<Host> = settings::load::read(&example(name).join("hosts.json")).expect("a list");
     for host in &list {
         let HostKind::Entry { router, agent } = host.kind else {
@@ -51,11 +51,11 @@
         assert_eq!((own.listen.peers, own.agent), (router, agent));
         assert_eq!(own.data_centre, host.data_centre);
     }
-    let is_worker = |h: &&Host| match &h.kind {
+    let is_backend = |h: &&Host| match &h.kind {
         HostKind::Backend { service: of, .. } => of.as_str() == service,
         HostKind::Entry { .. } => false,
     };
-    list.iter().filter(is_worker).count()
+    list.iter().filter(is_backend).count()
 }
 
 #[test]
@@ -67,8 +67,8 @@
     assert_eq!(profile.resume.mode, Mode::Latency);
     let bookings = document.service("booking-app").expect("the plain service");
     assert!(bookings.may_repeat.iter().all(|r| r.method == "GET"));
-    assert_eq!(workers("sao-mai", "draft-model"), 25);
-    assert_eq!(workers("sao-mai", "booking-app"), 3);
+    assert_eq!(backend_count("sao-mai", "draft-model"), 25);
+    assert_eq!(backend_count("sao-mai", "booking-app"), 3);
     assert_eq!(hosts("sao-mai"), ["vn-south-a", "vn-south-b", "vn-south-c"]);
 }
 
@@ -81,8 +81,8 @@
     assert_eq!(profile.resume.mode, Mode::Cost);
     let cases = document.service("ugyintezo").expect("the plain service");
     assert!(cases.may_repeat.iter().all(|r| r.method == "GET"));
-    assert_eq!(workers("nyah", "modellszerver"), 20);
-    assert_eq!(workers("nyah", "ugyintezo"), 4);
+    assert_eq!(backend_count("nyah", "modellszerver"), 20);
+    assert_eq!(backend_count("nyah", "ugyintezo"), 4);
     assert_eq!(
         hosts("nyah"),
         ["bp-kelet", "bp-nyugat", "fehervar-dc", "godollo-dc"]
