--- a/crates/gooseberry-agent/src/admin.rs
+++ b/crates/gooseberry-agent/src/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' entry of an agent.
+//! Operator HTTP endpoints of an agent.
 
 use hyper::body::Incoming;
 use hyper::{Method, Request, StatusCode};
@@ -11,7 +11,7 @@
 use crate::operator;
 use crate::shared::{Agent, SharedAgent};
 
-/// Answers one request.
+/// Answers one request: configuration and hosts, drain, state or readiness.
 pub async fn handle(agent: SharedAgent, request: Request<Incoming>) -> Response {
     let request = match operator::handle(&agent, request).await {
         Ok(response) => return response,
@@ -24,14 +24,14 @@
     answered.unwrap_or_else(|| not_found(&request))
 }
 
-/// Has the host take no new work, if an operator asks for it.
+/// Marks the host as leaving, so that it accepts no new work, if the operator key is correct.
 fn drain(agent: &Agent, request: &Request<Incoming>) -> Response {
     let settings = &agent.settings;
     let digest = settings.operator_digest.as_deref();
     if let Some(refused) = refusal(&settings.host, digest, request) {
         return refused;
     }
-    log::info!("drain asked for by an operator host={}", settings.host);
+    log::info!("drain requested by an operator host={}", settings.host);
     agent.members(Members::leave);
     reply::json(
         StatusCode::ACCEPTED,
@@ -39,7 +39,7 @@
     )
 }
 
-/// Whether the agent can serve a router.
+/// Readiness: the agent has a configuration and its host is not leaving.
 fn readiness(agent: &Agent) -> Readiness {
     let version = agent.version();
     let is_leaving = agent.is_leaving();
@@ -58,7 +58,7 @@
     }
 }
 
-/// All that the agent believes.
+/// State dump of the agent.
 fn state(agent: &Agent) -> Value {
     let view = agent.view(base::id::Version(0));
     json!({
--- a/crates/gooseberry-agent/src/caches.rs
+++ b/crates/gooseberry-agent/src/caches.rs
@@ -1,4 +1,4 @@
-//! Follows which blocks of prompts each engine holds, as far as its cache events tell.
+//! Tracks which prompt blocks are in each engine's prefix cache, from the engine's cache events.
 
 use std::net::SocketAddr;
 
@@ -8,21 +8,23 @@
 
 use crate::shared::{Agent, SharedAgent};
 
-/// The most blocks followed for one engine; further ones are left out.
+/// Maximum number of blocks tracked for one engine; further ones are ignored.
 const MAX_BLOCKS: usize = 4_096;
 
-/// The blocks of one engine.
+/// Prompt blocks in the prefix cache of one engine.
 #[derive(Clone, Debug, Default)]
 pub struct CachedBlocks {
     incarnation: Incarnation,
-    /// The number of the last event taken in.
+    /// Sequence number of the last applied event; 0 if none.
     last_seq: u64,
-    /// The sampled blocks, sorted.
+    /// Hashes of the sampled blocks, sorted.
     pub hashes: Vec<u64>,
 }
 
 impl CachedBlocks {
-    /// Takes in events; returns whether the blocks have changed.
+    /// Applies events; returns whether the blocks may have changed.
+    ///
+    /// On a new incarnation the blocks are cleared first, because a restarted engine's cache is empty.
     pub fn apply_events(&mut self, response: &CacheEvents) -> bool {
         let is_new = self.incarnation != response.incarnation;
         if is_new {
@@ -39,7 +41,7 @@
         is_new || changes > 0
     }
 
-    /// The number of the last event taken in.
+    /// Sequence number of the last applied event; 0 if none.
     pub fn last_seq(&self) -> u64 {
         self.last_seq
     }
@@ -62,7 +64,7 @@
     }
 }
 
-/// Follows the cache events of all engines for ever.
+/// Polls all engines for cache events; never returns.
 pub async fn follow(agent: SharedAgent) {
     let mut ticks = agent.timer.every(Millis(agent.settings.load_ms));
     loop {
@@ -74,8 +76,8 @@
     }
 }
 
-/// The engines that answer; a plain service knows nothing of cache events and would take the
-/// question for a call of its own.
+/// The engines that are alive. Backend servers of plain services are not polled: they have no cache
+/// events and would handle the request as one of their own.
 fn engines(agent: &Agent) -> Vec<(BackendId, SocketAddr)> {
     let services = agent.read(|state| {
         let is_model = |s: &&Service| s.kind == Kind::Model;
@@ -89,7 +91,7 @@
     })
 }
 
-/// Reads the events of one engine.
+/// Fetches and applies the events of one engine.
 async fn read_events(agent: &Agent, backend: BackendId, addr: SocketAddr) {
     let limit = Millis(agent.settings.load_ms).duration();
     let after = agent.read(|state| state.caches.get(&backend).map_or(0, CachedBlocks::last_seq));
--- a/crates/gooseberry-agent/src/commit.rs
+++ b/crates/gooseberry-agent/src/commit.rs
@@ -1,4 +1,4 @@
-//! Carries a proposal to the platform.
+//! Commits an operator's proposal to the platform: the I/O for [`profiles::commit`].
 
 use base::prelude::*;
 use profiles::cache::Update;
@@ -10,13 +10,13 @@
 use crate::distribution::{adopt, sync_platform};
 use crate::shared::{Agent, SharedAgent};
 
-/// How long a proposal is tried.
+/// Time after which a proposal is abandoned.
 const COMMIT_TIMEOUT: Millis = Millis(5_000);
 
-/// The pause after a call without a usable answer.
+/// Pause before the platform is read again after a call without a usable response.
 const RETRY_PAUSE: Millis = Millis(200);
 
-/// Carries a proposal out, or says what became of it.
+/// Commits a proposal and returns its outcome.
 pub async fn commit(agent: &SharedAgent, proposal: Proposal) -> Outcome {
     let base = proposal.base;
     let mut commit = Commit::new(proposal, agent.timer.now() + COMMIT_TIMEOUT);
@@ -41,12 +41,14 @@
     }
 }
 
-/// Reads the head and what goes with it; `None` if that cannot be done now.
+/// Reads the head, the document of its version and the revision after `base`.
+///
+/// Returns `None` if the platform cannot be read or the head changes meanwhile.
 async fn read_state(agent: &Agent, base: Version, head: &mut HeadRow) -> Option<StoreState> {
     *head = agent.platform.head().await.ok()?;
     sync_platform(agent).await.ok()?;
     let document = agent.read(|s| s.config.document().clone());
-    // The head has moved on since it was read.
+    // The head has changed since it was read.
     if document.version != head.version {
         return None;
     }
@@ -58,7 +60,7 @@
     Some(StoreState { document, next })
 }
 
-/// Writes a revision; once accepted it is in force here and spreads.
+/// Writes a revision; a committed one is put in force at this agent, and its followers fetch it.
 async fn write(
     agent: &SharedAgent,
     head: &HeadRow,
@@ -74,7 +76,7 @@
     tokio::spawn(async move {
         if let Err(e) = agent.platform.write_snapshot(&document).await {
             let host = &agent.settings.host;
-            log::warn!("snapshot not kept host={host} cause=\"{e}\"");
+            log::warn!("configuration snapshot not written host={host} cause=\"{e}\"");
         }
     });
     written
--- a/crates/gooseberry-agent/src/distribution.rs
+++ b/crates/gooseberry-agent/src/distribution.rs
@@ -1,7 +1,8 @@
-//! How the agents of a data centre learn of new versions of the configuration.
+//! Distribution of new configuration versions among the agents of a data centre.
 //!
-//! A few agents watch the platform; each other one follows two agents, the first for the changes and
-//! the second for its version, so that one dead or frozen agent holds nobody up.
+//! The topology of [`profiles::topology`] selects a few agents that poll the platform. Every other
+//! agent follows two agents by long polls: it fetches changes from the first and checks the version
+//! of the second. So one dead or frozen agent delays no other agent.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -19,51 +20,52 @@
 
 use crate::shared::{Agent, SharedAgent};
 
-/// How long the agent that is followed may hold an answer back without news, in milliseconds.
+/// Maximum time for which a followed agent holds a long poll open while nothing changes.
 const MAX_HOLD: Millis = Millis(1_000);
 
-/// The time limit of a call beyond the time for which it may be held back.
+/// Added to the hold time of a long poll to get the time limit of the call.
 const CALL_MARGIN: Duration = Duration::from_millis(500);
 
-/// How long an agent that gave no answer is left out.
+/// Time for which an agent whose call failed is not followed.
 const AVOID_TIME: Millis = Millis(3_000);
 
-/// How long what was read from the platform counts as fresh.
+/// Time after a confirmation of the platform's accepted version during which it counts as known.
 const FRESH_TTL: Millis = Millis(1_500);
 
-/// The time that the first link has to bring a version that the second one has told of.
+/// Time for which the first followed agent may still deliver a version that the second one reports,
+/// before it is fetched from the second.
 const FALLBACK_DELAY: Millis = Millis(100);
 
-/// The most agents of other data centres that are asked at once.
+/// Maximum number of agents of other data centres among the candidate peers.
 const MAX_REMOTE_PEERS: usize = 8;
 
-/// The adoptions that are kept for the state dump.
+/// Number of adoptions kept for the state dump.
 const MAX_ADOPTIONS: usize = 2_048;
 
-/// What agents that follow this one wait for.
+/// State on whose change the long polls of this agent's followers are answered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Signal {
     version: Version,
     is_fresh: bool,
 }
 
-/// The state of spreading.
+/// State of the configuration distribution at one agent.
 #[derive(Debug)]
 pub struct Distribution {
     signal: watch::Sender<Signal>,
     inner: Mutex<Inner>,
 }
 
-/// The part of [`Distribution`] that changes.
+/// Part of [`Distribution`] behind the lock.
 #[derive(Debug, Default)]
 struct Inner {
-    /// Until when agents are left out, by host.
+    /// Time until which a host's agent is not followed, by host.
     avoided: Sorted<String, Millis>,
-    /// Until when the platform's accepted version counts as known.
+    /// Time until which the platform's accepted version counts as known.
     fresh_until: Millis,
-    /// Why there is no configuration.
+    /// Reason why there is no configuration, for the readiness response.
     missing_reason: String,
-    /// When each version was adopted, in milliseconds of Unix time.
+    /// Adopted versions, each with the time of its adoption in milliseconds of Unix time.
     adoptions: Vec<(Version, u64)>,
 }
 
@@ -81,17 +83,17 @@
 }
 
 impl Distribution {
-    /// Why there is no configuration.
+    /// Reason why there is no configuration; meaningful only while the version is 0.
     pub fn missing_reason(&self) -> String {
         self.with(|i| i.missing_reason.clone())
     }
 
-    /// The latest adoptions: versions, and when they came into force in milliseconds of Unix time.
+    /// The latest adopted versions, each with its time of adoption in milliseconds of Unix time.
     pub fn adoptions(&self) -> Vec<(Version, u64)> {
         self.with(|i| i.adoptions.clone())
     }
 
-    /// Whether the accepted version is known, by this agent or through others.
+    /// Whether the platform's accepted version is known, read by this agent or by followed agents.
     pub fn is_fresh(&self) -> bool {
         self.signal.borrow().is_fresh
     }
@@ -106,6 +108,7 @@
             .send_if_modified(|s| !std::mem::replace(&mut s.is_fresh, true));
     }
 
+    /// Clears the freshness if no confirmation came within [`FRESH_TTL`].
     fn expire_fresh(&self, now: Millis) {
         let is_expired = self.with(|i| now >= i.fresh_until);
         if is_expired {
@@ -131,21 +134,21 @@
     }
 }
 
-/// Keeps the configuration up to date for ever.
+/// Fetches a first configuration and keeps it up to date; never returns.
 pub async fn run(agent: SharedAgent) {
     start(&agent).await;
     join(follow_changes(&agent), follow_versions(&agent)).await;
 }
 
-/// Answers an agent that follows this one.
+/// Answers a long poll of an agent that follows this one.
 pub async fn answer(agent: &Agent, ask: Ask) -> Changes {
     let mut signal = agent.distribution.signal.subscribe();
     let was_fresh = signal.borrow_and_update().is_fresh;
     let is_change = |s: &Signal| s.version > ask.after || s.is_fresh != was_fresh;
     let waited = signal.wait_for(is_change);
-    // Without news the answer tells just that.
+    // On a timeout the answer reports the unchanged version.
     let _ = tokio::time::timeout(Millis(ask.wait_ms).duration(), waited).await;
-    // Checked by the clock as well, in case this agent's own loops are held up.
+    // The flag alone is not enough: it is only cleared by loops that may be delayed themselves.
     let now = agent.timer.now();
     let is_fresh =
         agent.distribution.is_fresh() && agent.distribution.with(|i| now < i.fresh_until);
@@ -160,7 +163,7 @@
     })
 }
 
-/// Takes news into force if they are newer than what is held.
+/// Applies an update and puts it in force if it is newer than the current version.
 pub fn adopt(agent: &Agent, update: Update) {
     let mut adopted = None;
     agent.change(|state| {
@@ -175,30 +178,33 @@
     }
 }
 
-/// Reads from the platform what this agent lacks.
+/// Fetches the missing versions from the platform.
 ///
 /// # Errors
 ///
-/// The cause, if the platform cannot be read.
+/// The cause if the platform cannot be read or lacks a revision.
 pub async fn sync_platform(agent: &Agent) -> Result<(), String> {
     let text = |e: web::client::CallError| e.to_string();
     let head = agent.platform.head().await.map_err(text)?;
     loop {
-        let held = agent.version();
-        if held >= head.version {
+        let current = agent.version();
+        if current >= head.version {
             break;
         }
-        let update = agent.platform.read_update(held, head.version).await;
+        let update = agent.platform.read_update(current, head.version).await;
         adopt(agent, update.map_err(text)?);
-        if agent.version() == held {
-            return Err(format!("the revision after version {held} is missing"));
+        if agent.version() == current {
+            return Err(format!(
+                "the platform lacks the revision after version {current}"
+            ));
         }
     }
     agent.distribution.mark_fresh(agent.timer.now());
     Ok(())
 }
 
-/// Gets a first configuration: from the platform, else the highest version among all peers.
+/// Fetches a first configuration: from the platform, else the highest version among the candidate
+/// peers; retries until there is one.
 async fn start(agent: &Agent) {
     while agent.version() == Version(0) {
         match sync_platform(agent).await {
@@ -212,8 +218,8 @@
                 let peers = candidate_peers(agent);
                 let answered = fetch_peers(agent, &peers).await;
                 let reason = format!(
-                    "the platform gives none ({cause}) and {answered} of {} peers answered, none \
-                     of which holds any; bring the platform back or name more `peers`",
+                    "the platform cannot be read ({cause}) and {answered} of {} peers answered, \
+                     none with a configuration; restore the platform or list more `peers`",
                     peers.len()
                 );
                 agent.distribution.with(|i| i.missing_reason = reason);
@@ -225,7 +231,7 @@
     }
 }
 
-/// Asks agents for what this one lacks; returns how many answered.
+/// Fetches missing versions from all `peers` at once; returns how many answered.
 async fn fetch_peers(agent: &Agent, peers: &[SocketAddr]) -> usize {
     let calls = peers.iter().map(|addr| async {
         let link = AgentLink::new(*addr);
@@ -244,7 +250,9 @@
     count
 }
 
-/// Gets changes: from the platform, or from the first agent that is followed.
+/// Fetches changes: from the platform as a watcher, else from the first followed agent.
+///
+/// Falls back to the platform once no followed agent confirms the accepted version any more.
 async fn follow_changes(agent: &Agent) {
     let mut link = FollowLink::default();
     loop {
@@ -265,7 +273,8 @@
     }
 }
 
-/// Watches the version of the second agent that is followed, in case the first one fails.
+/// Checks the version of the second followed agent and fetches from it what the first one does not
+/// deliver within [`FALLBACK_DELAY`].
 async fn follow_versions(agent: &Agent) {
     let mut link = FollowLink::default();
     loop {
@@ -289,13 +298,13 @@
     }
 }
 
-/// Looks at the platform once; if it is away, at one other agent.
+/// Fetches from the platform once; if it is unavailable, from one random candidate peer.
 async fn poll_platform(agent: &Agent) {
     let Err(cause) = sync_platform(agent).await else {
         return;
     };
     let host = &agent.settings.host;
-    log::warn!("configuration not read host={host} cause=\"{cause}\"");
+    log::warn!("configuration not read from the platform host={host} cause=\"{cause}\"");
     agent.distribution.expire_fresh(agent.timer.now());
     let peers = candidate_peers(agent);
     if !peers.is_empty() {
@@ -304,14 +313,15 @@
     }
 }
 
-/// A link to the agent that is followed now.
+/// Connection to the currently followed agent; replaced when its address changes.
 #[derive(Default)]
 struct FollowLink {
     link: Option<AgentLink>,
 }
 
 impl FollowLink {
-    /// Asks `host`; one that does not answer is left out for some time.
+    /// Long-polls the agent of `host` and adopts its update; if the call fails, the agent is not
+    /// followed for [`AVOID_TIME`].
     async fn request(
         &mut self,
         agent: &Agent,
@@ -344,14 +354,16 @@
 
     fn mark_failed(&mut self, agent: &Agent, host: &str, cause: &LinkError) {
         let own = &agent.settings.host;
-        log::warn!("agent not followed host={own} other={host} cause=\"{cause}\"");
+        log::warn!(
+            "call to followed agent failed, avoiding it temporarily host={own} other={host} cause=\"{cause}\""
+        );
         let until = agent.timer.now() + AVOID_TIME;
         agent.distribution.avoid(host, until);
         self.link = None;
     }
 }
 
-/// The part of this agent among those of its data centre that are not left out.
+/// The role of this agent among the agents of its data centre that are not avoided.
 fn own_role(agent: &Agent) -> Role {
     let now = agent.timer.now();
     let avoided = agent.distribution.with(|i| {
@@ -370,7 +382,8 @@
     })
 }
 
-/// Where the agent of `host` takes calls.
+/// Address on which the agent of `host` accepts peer calls; `None` if the host list has no such
+/// entry host.
 fn agent_address(agent: &Agent, host: &str) -> Option<SocketAddr> {
     agent.read(|state| {
         let hosts = &state.hosts.hosts;
@@ -382,7 +395,8 @@
     })
 }
 
-/// The agents that may hold a configuration: of the settings, of this data centre, and some others.
+/// Agents that may have a configuration: those of the settings and of this data centre, and up to
+/// [`MAX_REMOTE_PEERS`] random ones of other data centres.
 fn candidate_peers(agent: &Agent) -> Vec<SocketAddr> {
     let mut peers = agent.settings.peers.clone();
     let mut remote = Vec::new();
--- a/crates/gooseberry-agent/src/drain.rs
+++ b/crates/gooseberry-agent/src/drain.rs
@@ -1,4 +1,4 @@
-//! The planned stop of an agent: its host leaves, and the agent stays until its router has gone.
+//! Planned stop of an agent: marks its host as leaving and runs on until the host's router stops.
 
 use std::time::Duration;
 
@@ -10,25 +10,29 @@
 
 use crate::shared::Agent;
 
-/// The time between looks at whether the router is still there.
+/// Period of the checks whether the router is running.
 const CHECK_PERIOD: Millis = Millis(50);
 
-/// The time within which all peers have been told.
+/// Time within which all peers have received the announcement that the host is leaving.
 const ANNOUNCE_TIME: Millis = Millis(500);
 
-/// The longest wait for the router; it exceeds the time that a router itself waits at most.
+/// Maximum wait for the router to stop; longer than a router waits at most for its requests in
+/// flight.
 const ROUTER_TIMEOUT: Millis = Millis(15 * 60 * 1_000);
 
-/// The longest wait for a connection to the router.
+/// Time limit for connecting to the router.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Waits until the host is to leave and everything is done for it.
+/// Waits until `stop` is cancelled or the host is leaving, then until its router has stopped.
 pub async fn wait(agent: &Agent, stop: &CancellationToken) {
     tokio::select! {
         () = stop.cancelled() => agent.members(Members::leave),
         () = agent.wait_leaving() => {}
     }
-    log::info!("host leaves host={}", agent.settings.host);
+    log::info!(
+        "host is leaving, agent runs until its router stops host={}",
+        agent.settings.host
+    );
     let started = agent.timer.now();
     agent.timer.after(ANNOUNCE_TIME).await;
     while agent.timer.now().since(started) < ROUTER_TIMEOUT && is_router_running(agent).await {
@@ -37,13 +41,13 @@
     log::info!("agent stopped host={}", agent.settings.host);
 }
 
-/// Whether the router of this host takes connections.
+/// Whether the router of this host accepts connections; false if its address is not confirmed.
 async fn is_router_running(agent: &Agent) -> bool {
     let own = agent.members(|m| m.own().clone());
     if !own.place_confirmed {
         return false;
     }
     let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(own.place.router)).await;
-    // A router that is only slow to accept is still there.
+    // A timeout counts as running: the router may only be slow to accept.
     !matches!(connected, Ok(Err(_)))
 }
--- a/crates/gooseberry-agent/src/gauges.rs
+++ b/crates/gooseberry-agent/src/gauges.rs
@@ -1,4 +1,4 @@
-//! The metrics of an agent: what it believes, once a second.
+//! Gauges of an agent's view of configuration, hosts and backend servers, sent to statsd.
 
 use base::prelude::*;
 use cadence::StatsdClient;
@@ -6,22 +6,22 @@
 
 use crate::shared::{Agent, SharedAgent};
 
-/// The time between two reports.
+/// Period at which the gauges are sent.
 const REPORT_PERIOD: Millis = Millis(1_000);
 
-/// Sends what the agent believes for ever.
+/// Sends the gauges periodically; never returns.
 pub async fn report(agent: SharedAgent, metrics: StatsdClient) {
     let mut ticks = agent.timer.every(REPORT_PERIOD);
     loop {
         ticks.next().await;
         for (name, value) in gauges(&agent) {
-            // Metrics that cannot be sent are no concern of the agent's work.
+            // Failures to send metrics must not affect the agent.
             let _ = metrics.gauge(name, value);
         }
     }
 }
 
-/// Each gauge with its value.
+/// Names and current values of the gauges.
 fn gauges(agent: &Agent) -> [(&'static str, u64); 5] {
     let count = |n: usize| u64::try_from(n).unwrap_or(u64::MAX);
     let (hosts, backends, leaving) = agent.members(|m| {
--- a/crates/gooseberry-agent/src/heartbeats.rs
+++ b/crates/gooseberry-agent/src/heartbeats.rs
@@ -1,4 +1,4 @@
-//! The loop that sends heartbeats to other agents and asks backend servers for their load.
+//! Sends heartbeats to other agents and polls backend servers for their load.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -13,10 +13,10 @@
 use crate::members::report;
 use crate::shared::{Agent, SharedAgent};
 
-/// The time between looks at what is due.
+/// Period at which due heartbeats and polls are started.
 const TICK: Millis = Millis(100);
 
-/// The longest wait for the answer to a heartbeat.
+/// Time limit for the response to a heartbeat.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Connections to other agents, by address.
@@ -34,7 +34,7 @@
     }
 }
 
-/// Sends heartbeats and asks backend servers for ever.
+/// Starts due heartbeats and polls; never returns.
 pub async fn run(agent: SharedAgent) {
     let mut ticks = agent.timer.every(TICK);
     loop {
@@ -55,7 +55,7 @@
     }
 }
 
-/// Answers the heartbeat of another agent.
+/// Applies the heartbeat of another agent and returns one in response.
 pub fn answer(agent: &Agent, heartbeat: Heartbeat) -> Heartbeat {
     let now = agent.timer.now();
     agent.members(|m| {
@@ -69,13 +69,13 @@
 async fn exchange_heartbeats(agent: &Agent, host: HostId, addr: SocketAddr) {
     let request = agent.members(|m| m.heartbeat(agent.timer.now(), &host));
     let link = agent.links.get(addr);
-    // The silence of a host is judged by the time since its last answer.
+    // A failed call needs no handling: a host becomes suspect by the time since its last message.
     if let Ok(answer) = link.heartbeat(request, HEARTBEAT_TIMEOUT).await {
         agent.members(|m| m.receive(agent.timer.now(), answer));
     }
 }
 
-/// Asks one backend server for its load.
+/// Polls one backend server for its load and applies the result, also a failed one.
 async fn poll(agent: &Agent, backend: BackendId, addr: SocketAddr) {
     let limit = Millis(agent.settings.load_ms * 2).duration();
     let answer = engine::client::load(addr, limit).await;
--- a/crates/gooseberry-agent/src/lib.rs
+++ b/crates/gooseberry-agent/src/lib.rs
@@ -1,5 +1,5 @@
-//! The agent of an entry host: watches the platform and the backend servers, and tells the host's
-//! router what it needs.
+//! The agent of an entry host: keeps the configuration, the hosts and the loads of the backend
+//! servers up to date and serves them to the host's router as a view.
 
 pub mod admin;
 pub mod caches;
--- a/crates/gooseberry-agent/src/main.rs
+++ b/crates/gooseberry-agent/src/main.rs
@@ -7,14 +7,14 @@
 use settings::agent::Agent as Settings;
 use telemetry::daemon;
 
-/// The name of the program in its messages.
+/// Program name in messages.
 const PROGRAM: &str = "gooseberry-agent";
 
 /// The agent of an entry host: watches the configuration, the hosts and the backend servers.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 struct Options {
-    /// The JSON file with the settings.
+    /// JSON file with the settings.
     #[bpaf(short, long, argument("FILE"))]
     settings: PathBuf,
     /// Check the settings and exit.
--- a/crates/gooseberry-agent/src/members.rs
+++ b/crates/gooseberry-agent/src/members.rs
@@ -1,4 +1,4 @@
-//! Members as the platform lists them, and as a router sees them.
+//! Conversions of members: from the platform's host list, and to the views sent to routers.
 
 use base::prelude::*;
 use engine::wire::Load;
@@ -41,7 +41,7 @@
     list.iter().filter_map(one).collect()
 }
 
-/// What a backend server has answered.
+/// Converts the load reported by a backend server.
 pub fn report(load: Load) -> Report {
     Report {
         incarnation: load.incarnation,
@@ -54,7 +54,8 @@
     }
 }
 
-/// The entry hosts for a router, this one included, sorted by name.
+/// Views of the entry hosts for a router, sorted by name; includes this host once its address is
+/// confirmed by the host list.
 pub fn host_views(members: &Members) -> Vec<HostView> {
     let mut views: Vec<HostView> = members.hosts().map(|(id, h)| host_view(id, h)).collect();
     let own = members.own();
@@ -86,7 +87,7 @@
     }
 }
 
-/// The backend servers for a router, sorted by name.
+/// Views of the backend servers for a router, sorted by name; `blocks` is left empty.
 pub fn backend_views(members: &Members, now: Millis) -> Vec<BackendView> {
     let views = members.backends().map(|(id, b)| backend_view(id, b, now));
     views.collect()
--- a/crates/gooseberry-agent/src/operator.rs
+++ b/crates/gooseberry-agent/src/operator.rs
@@ -1,4 +1,4 @@
-//! What operators with a key may ask of an agent: the configuration and the hosts.
+//! Operator endpoints of an agent that require the operator key: configuration and hosts.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -22,16 +22,20 @@
 use crate::distribution::sync_platform;
 use crate::shared::{Agent, SharedAgent};
 
-/// The largest request body, in bytes.
+/// Maximum size of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
-/// How long another agent may take to say which version it has.
+/// Time limit for another agent's response about its version.
 const ABOUT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// The revisions that a history shows.
+/// Number of latest revisions in the history.
 const HISTORY_LENGTH: u64 = 50;
 
-/// Answers an operator's request; `None` if this is not one.
+/// Answers an operator's request.
+///
+/// # Errors
+///
+/// Returns the request if its path or method is not one of these endpoints.
 pub async fn handle(
     agent: &SharedAgent,
     request: Request<Incoming>,
@@ -55,7 +59,9 @@
     }
 }
 
-/// The refusal of a request whose operator's key is missing or wrong.
+/// Checks the operator key of a request; returns `None` if it is correct.
+///
+/// Otherwise logs the refusal and returns the response.
 pub fn refusal(agent: &Agent, request: &Request<Incoming>) -> Option<Response> {
     let bearer = request
         .headers()
@@ -64,15 +70,15 @@
         .and_then(|v| v.strip_prefix("Bearer "));
     let message = match (&agent.settings.operator_digest, bearer) {
         (None, _) => {
-            "this agent has no `operator_digest` in its settings; write one to admit operators"
+            "`operator_digest` is not set in the agent's settings; set it to admit operators"
         }
         (_, None) => "no operator's key; send `Authorization: Bearer KEY`",
         (Some(digest), Some(key)) if key_digest(key) == *digest => return None,
-        _ => "the operator's key is wrong; use the one whose digest stands in the agent's settings",
+        _ => "the operator's key is wrong; use the one whose digest is in the agent's settings",
     };
     let host = &agent.settings.host;
     let path = request.uri().path();
-    log::warn!("operator refused host={host} path={path} cause=\"{message}\"");
+    log::warn!("operator request refused host={host} path={path} cause=\"{message}\"");
     Some(error(StatusCode::UNAUTHORIZED, "unauthorized", message))
 }
 
@@ -96,7 +102,9 @@
     match revisions {
         Ok(revisions) => reply::json(StatusCode::OK, &revisions),
         Err(cause) => {
-            let message = format!("the platform gives no history: {cause}; try again later");
+            let message = format!(
+                "configuration history not read from the platform: {cause}; try again later"
+            );
             error(StatusCode::SERVICE_UNAVAILABLE, "unavailable", &message)
         }
     }
@@ -108,7 +116,8 @@
         Err(e) => return error(StatusCode::BAD_REQUEST, "malformed", &e.to_string()),
     };
     desired.sort();
-    // Without the platform the answer is for the version that is in force here, and says so.
+    // If the platform is unavailable, the difference is to the version in force at this agent, which
+    // the response names.
     let _ = sync_platform(agent).await;
     let answer = agent.read(|s| Difference {
         version: s.config.version(),
@@ -124,7 +133,9 @@
     };
     let (host, operation) = (&agent.settings.host, proposal.operation.clone());
     let outcome = commit(agent, proposal).await;
-    log::info!("proposal ended host={host} operation={operation} outcome={outcome:?}");
+    log::info!(
+        "configuration proposal finished host={host} operation={operation} outcome={outcome:?}"
+    );
     reply::json(status(&outcome), &outcome)
 }
 
@@ -140,7 +151,7 @@
     }
 }
 
-/// All known entry hosts, each with what its agent says now.
+/// All listed entry hosts, each with its agent's response; `about` is `None` if there was none.
 async fn hosts(agent: &Agent) -> Vec<HostState> {
     let listed: Vec<(HostState, SocketAddr)> = agent.read(|state| {
         let list = state.hosts.hosts.iter();
--- a/crates/gooseberry-agent/src/run.rs
+++ b/crates/gooseberry-agent/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts the parts of an agent.
+//! Starts the tasks and servers of an agent.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,29 +15,32 @@
 use crate::shared::Agent;
 use crate::{admin, caches, distribution, drain, gauges, heartbeats, watch};
 
-/// Why an agent cannot start.
+/// Error that prevents an agent from starting.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// An address cannot be had.
+    /// An address cannot be bound.
     #[error("cannot listen on {addr}: {cause}; correct `{place}` in the settings")]
     Listen {
-        /// The address.
+        /// Address from the settings.
         addr: SocketAddr,
-        /// The path in the settings.
+        /// Path of the address in the settings, such as `listen.peers`.
         place: &'static str,
-        /// The cause given by the system.
+        /// Error of the operating system.
         cause: std::io::Error,
     },
-    /// Metrics cannot be sent.
+    /// The metrics client cannot be created.
     #[error(transparent)]
     Metrics(#[from] telemetry::metrics::MetricsError),
 }
 
-/// Runs an agent until its host has left, which begins when `stop` is cancelled at the latest.
+/// Runs an agent until its host has left.
+///
+/// The host starts to leave when `stop` is cancelled, or before that on request of an operator or
+/// its router.
 ///
 /// # Errors
 ///
-/// [`StartError`] if an address cannot be had.
+/// [`StartError`] if an address cannot be bound or the metrics client cannot be created.
 pub async fn run(settings: Settings, stop: CancellationToken) -> Result<(), StartError> {
     let peer_listener = bind(settings.listen.peers, "listen.peers").await?;
     let admin_listener = bind(settings.listen.admin, "listen.admin").await?;
@@ -87,7 +90,7 @@
     }));
     drain::wait(&agent, &stop).await;
     end.cancel();
-    // A task that failed has nothing left to wait for.
+    // A panicked server task is already finished.
     let _ = operating.await;
     for task in loops {
         task.abort();
--- a/crates/gooseberry-agent/src/shared.rs
+++ b/crates/gooseberry-agent/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the parts of an agent share.
+//! State shared by the tasks of an agent.
 
 use std::sync::{Arc, Mutex};
 
@@ -20,30 +20,30 @@
 use crate::heartbeats::Links;
 use crate::members::{backend_views, host_views};
 
-/// What an agent knows.
+/// Configuration, host list and engine caches as last received.
 #[derive(Debug, Default)]
 pub struct AgentState {
-    /// The configuration.
+    /// The configuration in force, with the latest revisions for followers.
     pub config: ConfigCache,
-    /// The host list.
+    /// The host list as last read from the platform.
     pub hosts: HostList,
-    /// What the engines hold in their caches.
+    /// Sampled prompt blocks in the engines' prefix caches.
     pub caches: Sorted<BackendId, CachedBlocks>,
 }
 
-/// An agent.
+/// State of an agent, shared by its tasks.
 pub struct Agent {
-    /// The settings.
+    /// Settings read at start.
     pub settings: Settings,
-    /// The timer.
+    /// Monotonic clock and sleeps.
     pub timer: Timer,
-    /// The life of this process.
+    /// Incarnation of this process, drawn at random at start.
     pub incarnation: Incarnation,
-    /// The platform.
+    /// Client of the platform.
     pub platform: Platform,
-    /// How the configuration spreads.
+    /// State of the configuration distribution.
     pub distribution: Distribution,
-    /// Connections to other agents.
+    /// Connections to other agents for heartbeats.
     pub links: Links,
     members: Mutex<Members>,
     state: Mutex<AgentState>,
@@ -51,7 +51,7 @@
 }
 
 impl Agent {
-    /// An agent that knows nothing yet.
+    /// An agent without configuration and host list.
     pub fn new(settings: Settings, timer: Timer) -> Self {
         let platform = Platform {
             addr: settings.platform,
@@ -76,12 +76,12 @@
         }
     }
 
-    /// Reads what is known.
+    /// Reads the state under its lock.
     pub fn read<T>(&self, read: impl FnOnce(&AgentState) -> T) -> T {
         read(&self.state.lock().unwrap_or_else(|e| e.into_inner()))
     }
 
-    /// Changes what is known; `change` says whether it did.
+    /// Changes the state under its lock; increments the view's revision if `change` returns true.
     pub fn change(&self, change: impl FnOnce(&mut AgentState) -> bool) {
         let mut state = self.state.lock().unwrap_or_else(|e| e.into_inner());
         if change(&mut state) {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Reads or changes what is believed of hosts and backend servers.
+    /// Reads or changes the members; increments the view's revision if theirs changes.
     pub fn members<T>(&self, change: impl FnOnce(&mut Members) -> T) -> T {
         let mut members = self.members.lock().unwrap_or_else(|e| e.into_inner());
         let before = members.revision();
@@ -100,16 +100,16 @@
         result
     }
 
-    /// Whether this host takes no new work.
+    /// Whether this host is leaving, so that it accepts no new work.
     pub fn is_leaving(&self) -> bool {
         self.members(|m| m.own().lifecycle.leaving)
     }
 
-    /// Waits until this host takes no new work.
+    /// Waits until this host is leaving.
     pub async fn wait_leaving(&self) {
         let mut revisions = self.revision.subscribe();
         while !self.is_leaving() {
-            // The sender is a part of this agent.
+            // Cannot fail: `self` owns the sender.
             let _ = revisions.changed().await;
         }
     }
@@ -119,14 +119,15 @@
         self.read(|s| s.config.version())
     }
 
-    /// Waits until the revision differs from `revision` or `wait` has passed.
+    /// Waits until the view's revision differs from `revision`, at most `wait`.
     pub async fn wait_revision(&self, revision: u64, wait: Millis) {
         let mut revisions = self.revision.subscribe();
         let changed = revisions.wait_for(|r| *r != revision);
         let _ = tokio::time::timeout(wait.duration(), changed).await;
     }
 
-    /// The view for a router that holds `version` of the configuration.
+    /// The view for a router that has `version` of the configuration; the document is left out unless
+    /// it is newer.
     pub fn view(&self, version: Version) -> View {
         let now = self.timer.now();
         self.members(|m| m.refresh(now));
@@ -154,7 +155,7 @@
     }
 }
 
-/// The host of an agent; where its router is, the host list tells.
+/// This host as a member; the router's address is a placeholder until the host list confirms it.
 fn own_host(settings: &Settings, now: Millis, incarnation: Incarnation) -> OwnHost {
     let place = Place {
         data_centre: settings.data_centre.clone(),
@@ -164,5 +165,5 @@
     OwnHost::new(now, settings.host.clone(), place, incarnation)
 }
 
-/// A shared agent.
+/// Handle to the agent, one for each task.
 pub type SharedAgent = Arc<Agent>;
--- a/crates/gooseberry-agent/src/watch.rs
+++ b/crates/gooseberry-agent/src/watch.rs
@@ -1,11 +1,11 @@
-//! The loop that watches the host list.
+//! Polls the platform for changes of the host list.
 
 use base::prelude::*;
 
 use crate::members::{listed_backends, listed_hosts};
 use crate::shared::SharedAgent;
 
-/// Watches the host list for ever.
+/// Applies each new host list; never returns.
 pub async fn hosts(agent: SharedAgent) {
     let mut ticks = agent.timer.every(Millis(agent.settings.poll_ms));
     loop {
--- a/crates/gooseberry-agent/tests/config/apply.rs
+++ b/crates/gooseberry-agent/tests/config/apply.rs
@@ -1,4 +1,4 @@
-//! Operators change the configuration through any agent.
+//! Proposals of operators: conflicts, lost responses and the operator key.
 
 use crate::site::{KEY, Site, agent};
 use hyper::StatusCode;
@@ -43,7 +43,7 @@
             (StatusCode::OK, accepted)
         );
     }
-    // The same operation again, after its answer was lost on the way to the operator.
+    // A retry of the operation at another agent, as after a lost response to the operator.
     let retried = agents[1].put(3, "w-3").await;
     assert_eq!(retried.1, json!({ "outcome": "accepted", "version": 4 }));
     agents[1].wait_version(4).await;
--- a/crates/gooseberry-agent/tests/config/distribution.rs
+++ b/crates/gooseberry-agent/tests/config/distribution.rs
@@ -1,4 +1,5 @@
-//! Accepted versions reach every agent and never fall, whatever is away.
+//! Accepted versions reach every agent and never decrease, also while agents, the platform or a
+//! data centre are unavailable.
 
 use crate::site::{Relay, Site, agent, get};
 use base::prelude::*;
@@ -19,7 +20,7 @@
     let site = Site::start(1, &["a"; 7]).await;
     let agents = site.agents();
     for base in 0..4 {
-        // The base may be accepted without being in force at this agent yet.
+        // The base has been accepted but may not be in force at this agent yet.
         let name = format!("w-{base}");
         let by = &agents[usize::try_from(base).expect("small")];
         assert_eq!(by.put(base, &name).await.1["version"], base + 1);
@@ -107,7 +108,7 @@
     }
 }
 
-/// One data centre loses the platform and the other data centre, and comes back.
+/// Data centre `a` is cut off from the platform and from data centre `b`, then reconnected.
 #[tokio::test]
 async fn data_centre_cut() {
     let site = Site::with(5, &["a", "a", "b", "b"], &[2, 3]).await;
@@ -130,13 +131,13 @@
     }
     store.cut(true);
     peers.iter().for_each(|p| p.cut(true));
-    // Calls that were under way when the relays were cut may still end with an answer.
+    // Calls in flight when the relays were cut may still get a response.
     sleep(Duration::from_millis(100)).await;
     assert_eq!(agents[3].put(1, "x").await.0, StatusCode::OK);
     agents[2].wait_version(2).await;
     assert_eq!(agents[0].version().await, 1);
     assert_eq!(get(agents[0].admin(), "/v1/ready").await["ready"], true);
-    // The way over the other data centre is enough.
+    // With the platform still cut off, the agents of data centre `b` deliver the version.
     peers.iter().for_each(|p| p.cut(false));
     agents[0].wait_version(2).await;
     agents[1].wait_version(2).await;
@@ -147,7 +148,7 @@
     }
 }
 
-/// A node that starts far behind reads a snapshot, though the first revisions are kept no longer.
+/// A host that starts far behind reads a snapshot, because the first revisions are deleted.
 #[tokio::test]
 async fn starts_from_snapshot() {
     let site = Site::start(7, &["a"]).await;
@@ -183,7 +184,7 @@
     );
 }
 
-/// The revision that makes `version`: one of three workspaces with a new share.
+/// The revision for `version`: changes the share of one of three workspaces.
 fn revision(version: u32) -> Revision {
     let workspace = Workspace {
         name: WorkspaceName(format!("w-{}", version % 3)),
@@ -198,7 +199,8 @@
     }
 }
 
-/// All hosts of a data centre start again while the platform is away.
+/// All hosts of a data centre restart while the platform is unavailable and get the configuration
+/// from a peer of another one.
 #[tokio::test]
 async fn restart_without_platform() {
     let site = Site::start(6, &["a", "a", "b"]).await;
@@ -229,7 +231,7 @@
     for one in agents {
         one.stop().await;
     }
-    // Now there is no peer that holds any.
+    // No running peer has a configuration now.
     let mut settings = site.settings(0);
     settings.peers = peers;
     let isolated = agent(settings);
@@ -248,7 +250,7 @@
         sleep(Duration::from_millis(20)).await;
     };
     assert!(
-        reason.contains("503") && reason.contains("the platform gives none"),
+        reason.contains("503") && reason.contains("the platform cannot be read"),
         "{reason}"
     );
 }
--- a/crates/gooseberry-agent/tests/config/main.rs
+++ b/crates/gooseberry-agent/tests/config/main.rs
@@ -1,4 +1,4 @@
-//! The configuration, with agents and a platform on loopback addresses.
+//! Configuration changes and their distribution, with agents and a platform on loopback addresses.
 
 mod apply;
 mod distribution;
--- a/crates/gooseberry-agent/tests/config/site.rs
+++ b/crates/gooseberry-agent/tests/config/site.rs
@@ -1,4 +1,4 @@
-//! Agents and a platform in one process, on loopback addresses of this test run.
+//! Runs agents and a platform in the test process, on loopback addresses of this test run.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,16 +17,16 @@
 use tokio::time::{Instant, sleep};
 use tokio_util::sync::CancellationToken;
 
-/// The operators' key.
+/// Operator key accepted by the agents.
 pub(crate) const KEY: &str = "operator-key";
 
-/// The longest wait for an outcome; no test asserts a time.
+/// Maximum wait for an outcome; generous, because no test asserts a time.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The time limit of a call, above that of a proposal.
+/// Time limit of a call; longer than the agent's time limit for a proposal.
 const CALL_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// A relay that can be cut.
+/// A TCP relay that can be cut: it then closes its connections and accepts no new ones.
 pub(crate) struct Relay {
     is_cut: Arc<AtomicBool>,
     task: JoinHandle<()>,
@@ -99,22 +99,22 @@
         state["view"]["version"].as_u64().expect("a version")
     }
 
-    /// Waits until the agent has `version`.
+    /// Waits until the agent has `version` or a later one.
     pub(crate) async fn wait_version(&self, version: u64) {
         let deadline = Instant::now() + WAIT_TIMEOUT;
         while self.version().await < version {
             let host = &self.settings.host;
             assert!(
                 Instant::now() < deadline,
-                "{host} never got version {version}"
+                "{host} did not get version {version} in time"
             );
             sleep(Duration::from_millis(10)).await;
         }
     }
 
-    /// Puts workspace `name`, based on `base`.
+    /// Proposes to put workspace `name`, based on version `base`.
     pub(crate) async fn put(&self, base: u64, name: &str) -> (StatusCode, Value) {
-        // The agent may just be starting.
+        // Waits for the agent, which may still be starting.
         self.state().await;
         let change = json!({ "put_workspace": { "name": name, "keys": [] } });
         let body =
@@ -147,7 +147,7 @@
     }
 }
 
-/// A platform and the addresses of a test.
+/// Platform and loopback addresses of one test.
 pub(crate) struct Site {
     group: u8,
     hosts: Vec<Host>,
@@ -155,12 +155,13 @@
 }
 
 impl Site {
-    /// A platform that lists agents in these data centres; `group` is the test's own number.
+    /// Starts a platform that lists one agent per entry of `data_centres`; `group` is unique to the
+    /// test.
     pub(crate) async fn start(group: u8, data_centres: &[&str]) -> Self {
         Self::with(group, data_centres, &[]).await
     }
 
-    /// The same, with the agents at `relayed` listed under the addresses of their relays.
+    /// Like `start`, with the agents of index `relayed` listed under the addresses of their relays.
     pub(crate) async fn with(group: u8, data_centres: &[&str], relayed: &[usize]) -> Self {
         let hosts: Vec<Host> = data_centres
             .iter()
@@ -190,7 +191,7 @@
         }
     }
 
-    /// The address of agent `i`, on another port.
+    /// The loopback address of agent `i`, with this port.
     pub(crate) fn address(&self, i: usize, port: u16) -> SocketAddr {
         address(self.group, i, port)
     }
@@ -242,7 +243,7 @@
     }
 }
 
-/// Reads from a process that may just be starting.
+/// Gets `path`, retrying while the process is still starting.
 pub(crate) async fn get(addr: SocketAddr, path: &str) -> Value {
     let deadline = Instant::now() + WAIT_TIMEOUT;
     loop {
@@ -254,7 +255,7 @@
     }
 }
 
-/// A loopback address of this run; runs at the same time have addresses of their own.
+/// A loopback address derived from the process id, so that concurrent test runs do not collide.
 fn address(group: u8, i: usize, port: u16) -> SocketAddr {
     let run = std::process::id();
     let octet = |n: u32| u8::try_from(n).expect("below 256");
--- a/crates/gooseberry-agent/tests/flags.rs
+++ b/crates/gooseberry-agent/tests/flags.rs
@@ -1,4 +1,4 @@
-//! The options that print and exit.
+//! Options that print and exit.
 
 use std::process::{Command, Output};
 
--- a/crates/gooseberry-agent/tests/gauges.rs
+++ b/crates/gooseberry-agent/tests/gauges.rs
@@ -1,4 +1,4 @@
-//! An agent sends what it believes to the statsd address of its settings.
+//! An agent sends its gauges to the statsd address of its settings.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::time::Duration;
@@ -6,10 +6,10 @@
 use serde_json::json;
 use tokio_util::sync::CancellationToken;
 
-/// The longest wait for a report.
+/// Maximum wait for the first report.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// An address of this test's own.
+/// A loopback address reserved for this test.
 fn address(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 9, 41, 1], port))
 }
@@ -32,7 +32,7 @@
     let running = tokio::spawn(gooseberry_agent::run::run(settings, stop.clone()));
     let received = tokio::task::spawn_blocking(move || {
         let mut buffer = [0; 2_048];
-        let length = statsd.recv(&mut buffer).expect("a report comes");
+        let length = statsd.recv(&mut buffer).expect("a report");
         String::from_utf8_lossy(&buffer[..length]).into_owned()
     });
     let text = received.await.expect("no panic");
--- a/crates/gooseberryctl/src/client.rs
+++ b/crates/gooseberryctl/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to the operators' entry of agents.
+//! Client of the operator endpoints of agents.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,16 +16,16 @@
 use crate::options::Options;
 use crate::outcome::CommandError;
 
-/// The longest wait for an answer; above the time for which an agent tries a proposal.
+/// Time limit of a call; longer than an agent's time limit for a proposal.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How often a proposal is sent when its answer does not come; its operation id makes that safe.
+/// Number of attempts to send a proposal without a response; its operation id makes retries safe.
 const MAX_ATTEMPTS: usize = 3;
 
-/// The variable that holds the operators' key.
+/// Environment variable with the operator key.
 const KEY_VARIABLE: &str = "GOOSEBERRY_KEY";
 
-/// An agent, and the key that it asks for.
+/// Client of one agent, with the operator key that it requires.
 #[derive(Clone, Debug)]
 pub struct Client {
     addr: SocketAddr,
@@ -33,11 +33,11 @@
 }
 
 impl Client {
-    /// The agent and the key that the options name.
+    /// Creates a client for the agent and the key that the options name.
     ///
     /// # Errors
     ///
-    /// `NoAgent`, `NoKey` or `Unreadable`.
+    /// `NoAgent`, `NoKey` or `Unreadable` (key file).
     pub fn new(options: &Options) -> Result<Self, CommandError> {
         let addr = options.agent.ok_or(CommandError::NoAgent)?;
         let key = match &options.key_file {
@@ -51,7 +51,7 @@
         Ok(Self { addr, key })
     }
 
-    /// The accepted configuration.
+    /// Fetches the accepted configuration, or the agent's own copy if the platform is unavailable.
     ///
     /// # Errors
     ///
@@ -60,7 +60,7 @@
         self.call(Method::GET, "/v1/config", &()).await
     }
 
-    /// The latest accepted changes.
+    /// Fetches the latest accepted revisions.
     ///
     /// # Errors
     ///
@@ -69,7 +69,7 @@
         self.call(Method::GET, "/v1/config/history", &()).await
     }
 
-    /// The changes that make `desired` of the accepted configuration.
+    /// Fetches the changes from the accepted configuration to `desired`.
     ///
     /// # Errors
     ///
@@ -78,7 +78,7 @@
         self.call(Method::POST, "/v1/config/diff", desired).await
     }
 
-    /// All known entry hosts.
+    /// Fetches the state of all listed entry hosts.
     ///
     /// # Errors
     ///
@@ -87,11 +87,15 @@
         self.call(Method::GET, "/v1/hosts", &()).await
     }
 
-    /// Sends a proposal; one without an answer is read back by sending it again.
+    /// Sends a proposal and retries it if no response comes: a retry returns the outcome of an
+    /// operation that was already accepted.
+    ///
+    /// Returns `Unknown` if a proposal that may have been received gets no conclusive response.
     ///
     /// # Errors
     ///
-    /// `Unauthorized`, or `Call` if it was certainly not received.
+    /// `Unauthorized`; `Call` if the proposal was certainly not received or a response cannot be
+    /// decoded.
     pub async fn apply(&self, proposal: &Proposal) -> Result<Outcome, CommandError> {
         let mut may_be_received = false;
         for _ in 0..MAX_ATTEMPTS {
@@ -112,7 +116,7 @@
         Ok(Outcome::Unknown { operation })
     }
 
-    /// Calls the agent of another host.
+    /// Calls the agent of `host`, looked up through this one.
     ///
     /// # Errors
     ///
@@ -181,7 +185,7 @@
     }
 }
 
-/// The message in an error body, or the whole body.
+/// The message in a JSON error body, or the entire body.
 fn message(body: &str) -> String {
     let value: Value = serde_json::from_str(body).unwrap_or_default();
     match value["message"].as_str() {
--- a/crates/gooseberryctl/src/commands.rs
+++ b/crates/gooseberryctl/src/commands.rs
@@ -1,4 +1,4 @@
-//! What each command does.
+//! Implementation of the commands.
 
 use std::io::Read;
 use std::path::Path;
@@ -18,7 +18,7 @@
 use crate::outcome::{CommandError, Exit};
 use crate::{declarations, wait};
 
-/// Carries a command out.
+/// Runs a command and prints its output.
 ///
 /// # Errors
 ///
@@ -60,11 +60,11 @@
     }
 }
 
-/// How a change is applied.
+/// Options of a command that sends a proposal.
 struct ApplyOptions {
     json: bool,
     base: Option<Version>,
-    /// How long to wait until it is in force everywhere.
+    /// Maximum wait until the version is in force on all hosts; `None` to not wait.
     wait: Option<Duration>,
 }
 
@@ -152,7 +152,7 @@
     finish(&apply_options, client, &outcome).await
 }
 
-/// Says how a proposal ended, and waits for it if asked to.
+/// Prints the outcome of a proposal; waits until an accepted one is in force if requested.
 async fn finish(
     apply_options: &ApplyOptions,
     client: &Client,
@@ -194,7 +194,7 @@
     Ok(Exit::Lagging)
 }
 
-/// Says why a proposal is not known to be accepted.
+/// Prints why a proposal was not accepted, or that its outcome is unknown.
 fn not_accepted(json: bool, outcome: &Outcome) -> Exit {
     let (exit, text) = match outcome {
         Outcome::Accepted { .. } => (Exit::Done, String::new()),
@@ -279,7 +279,7 @@
     }
 }
 
-/// A change in one line.
+/// Formats a change as one line.
 fn change_line(change: &Change) -> String {
     let verb = if is_retirement(change) {
         "retire"
@@ -298,14 +298,16 @@
         _ => return Vec::new(),
     };
     let mut found = Vec::new();
-    // A new entry is told by its name alone.
+    // For a new entry the line with its name is enough.
     if !old.is_null() {
         collect_differences("", &old, &new, &mut found);
     }
     found
 }
 
-/// Collects where two values differ.
+/// Collects the paths at which two values differ, with their old and new values.
+///
+/// Keys that only `old` has are not reported.
 fn collect_differences(
     place: &str,
     old: &Value,
@@ -329,7 +331,7 @@
     }
 }
 
-/// An identity for a proposal that no other has.
+/// A random operation id, unique to one proposal.
 fn new_operation() -> OperationId {
     OperationId(format!("{:016x}", rand::random::<u64>()))
 }
--- a/crates/gooseberryctl/src/declarations.rs
+++ b/crates/gooseberryctl/src/declarations.rs
@@ -1,4 +1,4 @@
-//! A directory of declarations: one JSON file an entry, named as the entry.
+//! Reads a directory of declarations: one JSON file per entry, named after the entry.
 
 use std::path::{Path, PathBuf};
 
@@ -7,14 +7,14 @@
 use profiles::document::Document;
 use serde::de::DeserializeOwned;
 
-/// An entry and the file in which it stands.
+/// An entry and the file that declares it.
 type Declared<T> = (PathBuf, T);
 
-/// Reads and checks a directory.
+/// Reads and checks a directory of declarations.
 ///
 /// # Errors
 ///
-/// All faults that were found, each with file, place, what was found and what to write.
+/// All faults found, each with file, path in the file, value found and remedy.
 pub fn read(directory: &Path) -> Result<Document, Vec<String>> {
     let mut faults = Vec::new();
     if !directory.is_dir() {
@@ -41,7 +41,7 @@
         |w: &profiles::document::Workspace| w.name.as_str(),
         &mut faults,
     );
-    // Faults name entries by their index in the sorted document.
+    // The check reports entries by their index in the sorted document.
     profiles.sort_by(|a, b| a.1.name.cmp(&b.1.name));
     services.sort_by(|a, b| a.1.name.cmp(&b.1.name));
     workspaces.sort_by(|a, b| a.1.name.cmp(&b.1.name));
@@ -52,7 +52,8 @@
         services: values(services),
         workspaces: values(workspaces),
     };
-    // A wrong reference may only be due to a file that could not be read.
+    // Checked only without earlier faults: a file that could not be read would make references to
+    // its entry look wrong.
     if faults.is_empty() {
         faults.extend(check(&document).iter().map(|f| in_file(f, &files)));
     }
@@ -63,7 +64,7 @@
     }
 }
 
-/// Reads all files of one kind, in order of name.
+/// Reads all entries of one kind, in order of file name.
 fn entries<T: DeserializeOwned>(
     directory: &Path,
     kind: &str,
@@ -71,7 +72,7 @@
 ) -> Vec<Declared<T>> {
     let folder = directory.join(kind);
     let Ok(listed) = std::fs::read_dir(&folder) else {
-        // A directory may declare nothing of a kind.
+        // Each kind is optional.
         return Vec::new();
     };
     let mut files: Vec<PathBuf> = listed.flatten().map(|e| e.path()).collect();
@@ -87,7 +88,7 @@
     read
 }
 
-/// Each entry stands in the file of its name.
+/// Checks that each file is named after its entry.
 fn check_names<T>(entries: &[Declared<T>], name: impl Fn(&T) -> &str, faults: &mut Vec<String>) {
     for (file, entry) in entries {
         let stem = file
@@ -104,7 +105,7 @@
     }
 }
 
-/// A fault of the document, told by file.
+/// Formats a fault of the document with the file and the path in it.
 fn in_file(fault: &Fault, files: &[Vec<PathBuf>; 3]) -> String {
     let found = locate(&fault.place, files);
     let (file, place) = found.unwrap_or_else(|| (String::new(), fault.place.clone()));
@@ -114,7 +115,7 @@
     )
 }
 
-/// The file and the place in it that `kind[index].place` means.
+/// Resolves the document path `kind[index].path` to the file and the path in it.
 fn locate(place: &str, files: &[Vec<PathBuf>; 3]) -> Option<(String, String)> {
     let (kind, rest) = place.split_once('[')?;
     let (index, rest) = rest.split_once(']')?;
--- a/crates/gooseberryctl/src/lib.rs
+++ b/crates/gooseberryctl/src/lib.rs
@@ -1,4 +1,4 @@
-//! The operators' command line: checks declarations, applies them and looks at hosts.
+//! Operator command line: checks and applies declarations and inspects hosts.
 
 pub mod client;
 pub mod commands;
--- a/crates/gooseberryctl/src/main.rs
+++ b/crates/gooseberryctl/src/main.rs
@@ -1,4 +1,4 @@
-//! `gooseberryctl`: the operators' command line.
+//! `gooseberryctl`: the operator command line.
 
 use std::process::ExitCode;
 
--- a/crates/gooseberryctl/src/outcome.rs
+++ b/crates/gooseberryctl/src/outcome.rs
@@ -1,23 +1,23 @@
-//! How a command ends: exit codes and errors.
+//! Exit codes and errors of commands.
 
 use std::path::PathBuf;
 
 use thiserror::Error;
 
-/// How a command ended.
+/// Result of a command, as an exit code of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exit {
-    /// It did what was asked; a change was accepted.
+    /// The command succeeded; a change was accepted.
     Done,
-    /// Nothing was sent, or an answer did not come.
+    /// Nothing was sent, or no response came.
     Failed,
-    /// Another operator's change was accepted since.
+    /// Another operator's change was accepted after the base of this one.
     Conflict,
     /// The change was refused.
     Refused,
-    /// The change may have been accepted, or may yet be.
+    /// The change may have been accepted, or may still be.
     Unknown,
-    /// The change was accepted, and some hosts do not have it yet.
+    /// The change was accepted, but some hosts do not have it yet.
     Lagging,
 }
 
@@ -35,42 +35,42 @@
     }
 }
 
-/// Why a command failed.
+/// Error that ends a command.
 #[derive(Debug, Error)]
 pub enum CommandError {
-    /// Declarations are wrong.
+    /// Declarations cannot be read or are invalid; one message per fault.
     #[error("{}", .0.join("\n"))]
     Declarations(Vec<String>),
-    /// There is no address to ask.
-    #[error("no agent to ask; write --agent ADDR or set GOOSEBERRY_AGENT")]
+    /// No agent address is given.
+    #[error("no agent address; pass --agent ADDR or set GOOSEBERRY_AGENT")]
     NoAgent,
-    /// There is no key.
-    #[error("no operators' key; write --key-file FILE or set GOOSEBERRY_KEY")]
+    /// No operator key is given.
+    #[error("no operator key; pass --key-file FILE or set GOOSEBERRY_KEY")]
     NoKey,
-    /// A file cannot be read.
+    /// The key file cannot be read.
     #[error("{}: cannot be read: {cause}; name a file that exists and may be read", file.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// The cause given by the system.
+        /// Error of the operating system.
         cause: std::io::Error,
     },
     /// Standard input cannot be read.
     #[error("standard input cannot be read: {0}; pipe the key into it")]
     Input(std::io::Error),
-    /// A call failed.
+    /// A call to an agent failed.
     #[error(transparent)]
     Call(#[from] web::client::CallError),
-    /// The agent refused the key.
+    /// The agent refused the key; holds its message.
     #[error("{0}")]
     Unauthorized(String),
-    /// A host is not known.
+    /// The host is not listed, or its agent does not answer.
     #[error("host {0} is not known or its agent does not answer; see `gooseberryctl hosts`")]
     NoHost(String),
 }
 
 impl CommandError {
-    /// The exit that goes with the error.
+    /// Exit code category of the error.
     pub fn exit(&self) -> Exit {
         match self {
             Self::Unauthorized(_) => Exit::Refused,
--- a/crates/gooseberryctl/src/wait.rs
+++ b/crates/gooseberryctl/src/wait.rs
@@ -9,19 +9,20 @@
 use crate::client::Client;
 use crate::outcome::CommandError;
 
-/// The time between two looks at the hosts.
+/// Period at which the hosts are polled.
 const POLL_PERIOD: Duration = Duration::from_millis(250);
 
-/// How far a version has come.
+/// Number of hosts with a version in force, and the hosts without it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Progress {
-    /// The hosts that have it.
+    /// Number of hosts that have it or a later version.
     pub done: usize,
-    /// The hosts that do not, each with the version that it has, if it answers.
+    /// Hosts that do not, each with its version in force; `None` if its agent does not answer.
     pub lagging: Vec<(HostId, Option<Version>)>,
 }
 
-/// Waits at most `limit`, and tells `say` of each step.
+/// Polls the hosts until all have `version` or `limit` has passed; calls `on_change` whenever the
+/// progress changes.
 ///
 /// # Errors
 ///
@@ -47,7 +48,7 @@
     }
 }
 
-/// How far `version` has come on `hosts`.
+/// Progress of `version` on `hosts`.
 pub fn progress(hosts: &[HostState], version: Version) -> Progress {
     let version_of = |h: &HostState| h.about.as_ref().map(|a| a.version);
     let has = |h: &&HostState| version_of(h).is_some_and(|v| v >= version);
@@ -58,7 +59,7 @@
     }
 }
 
-/// The lagging hosts in words.
+/// Formats the lagging hosts as a comma-separated list.
 pub fn describe(lagging: &[(HostId, Option<Version>)]) -> String {
     let one = |(host, version): &(HostId, Option<Version>)| match version {
         Some(version) => format!("{host} at version {version}"),
--- a/crates/gooseberryctl/tests/answers.rs
+++ b/crates/gooseberryctl/tests/answers.rs
@@ -1,4 +1,5 @@
-//! Answers that an agent gives or loses, from a fake agent that follows a script.
+//! Outcomes of `apply` when responses are lost or inconclusive, with a fake agent that follows a
+//! script.
 
 use std::path::Path;
 use std::process::Command;
@@ -11,11 +12,11 @@
 use tokio_util::sync::CancellationToken;
 use web::{Response, StreamCut, reply};
 
-/// The largest request body, in bytes.
+/// Maximum size of a request body, in bytes.
 const MAX_BYTES: usize = 1_024 * 1_024;
 
 /// Applies an example at an agent that answers each proposal with the next entry of `script`, null
-/// for a lost answer. Returns the exit code and the operations that the agent got.
+/// for a lost response. Returns the exit code and the operation ids that the agent received.
 async fn apply(script: Vec<Value>) -> (Option<i32>, Vec<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("an address");
@@ -64,7 +65,7 @@
     reply::json(StatusCode::OK, value)
 }
 
-/// An answer that breaks off.
+/// A response that ends before its body is complete.
 fn truncated() -> Response {
     let (sender, response) = reply::events();
     sender.abort(StreamCut);
@@ -84,7 +85,7 @@
 async fn unknown_outcome() {
     let unknown = json!({ "outcome": "unknown", "operation": "op" });
     assert_eq!(apply(vec![unknown]).await.0, Some(4));
-    // After a lost answer, an agent without the platform says nothing of the first try.
+    // After a lost response, `unavailable` does not tell whether the first attempt was accepted.
     let unavailable = json!({ "outcome": "unavailable" });
     let script = vec![Value::Null, unavailable.clone(), unavailable.clone()];
     assert_eq!(apply(script).await.0, Some(4));
--- a/crates/gooseberryctl/tests/apply.rs
+++ b/crates/gooseberryctl/tests/apply.rs
@@ -1,4 +1,4 @@
-//! The command line against an agent and a platform on loopback addresses: outcomes and exit codes.
+//! Outputs and exit codes of the command line, with an agent and a platform on loopback addresses.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -11,7 +11,7 @@
 use tokio::net::TcpListener;
 use tokio_util::sync::CancellationToken;
 
-/// An agent, its platform and the folder of a test.
+/// Address of a running agent, and the declarations folder of one test.
 struct Site {
     admin: SocketAddr,
     folder: PathBuf,
@@ -28,7 +28,7 @@
         let run = std::process::id();
         let octet = u8::try_from(run % 250 + 1).expect("below 256");
         let address = |last: u8, port: u16| SocketAddr::from(([127, octet, group, last], port));
-        // The second host of the list does not run.
+        // No agent runs on the second listed host.
         let hosts = (1..=2).map(|i| Host {
             name: format!("entry-{i}"),
             data_centre: "a".into(),
@@ -80,7 +80,7 @@
         std::fs::write(path, value.to_string()).expect("a file");
     }
 
-    /// Runs the program; the exit code and what it printed.
+    /// Runs the program; returns its exit code and its output on both streams.
     async fn run(&self, key: &str, arguments: &[&str]) -> (Option<i32>, String) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_gooseberryctl"));
         command
--- a/crates/gooseberryctl/tests/declarations.rs
+++ b/crates/gooseberryctl/tests/declarations.rs
@@ -1,4 +1,4 @@
-//! Errors in declarations name the file, the place, what was found and what to write.
+//! Faults in declarations are reported with the file, the path in it, the value found and a remedy.
 
 use gooseberryctl::declarations;
 
--- a/crates/gooseberryctl/tests/examples.rs
+++ b/crates/gooseberryctl/tests/examples.rs
@@ -1,4 +1,4 @@
-//! The example declarations and settings of both users' deployments are correct and complete.
+//! The example declarations and settings of both deployments are valid and consistent.
 
 use std::path::{Path, PathBuf};
 
@@ -38,8 +38,8 @@
     data_centres
 }
 
-/// How many backend servers of a service stand in the host list, which must list the entry hosts as their
-/// settings do.
+/// Counts the backend servers of a service in the host list; checks that the entry hosts are listed
+/// with the addresses and data centres of their settings.
 fn backend_count(name: &str, service: &str) -> usize {
     let list: Vec<Host> = settings::load::read(&example(name).join("hosts.json")).expect("a list");
     for host in &list {
--- a/crates/gooseberryctl/tests/flags.rs
+++ b/crates/gooseberryctl/tests/flags.rs
@@ -1,4 +1,4 @@
-//! The options that print and exit.
+//! Options and commands that print and exit without an agent.
 
 use std::process::{Command, Output};
 
