--- a/crates/gooseberry-agent/src/commit.rs
+++ b/crates/gooseberry-agent/src/commit.rs
@@ -1,4 +1,4 @@
-//! Carries a proposal to the platform.
+//! Commits an operator's proposal to the platform: the I/O for [`profiles::commit`].
 
 use base::prelude::*;
 use profiles::cache::Update;
@@ -7,29 +7,29 @@
 use profiles::document::Document;
 use store::config::HeadRow;
 
+use crate::distribution::{adopt, sync_platform};
 use crate::shared::{Agent, SharedAgent};
-use crate::spread::{adopt, read_store};
 
-/// How long a proposal is tried.
-const LIMIT: Millis = Millis(5_000);
+/// Time after which a proposal is abandoned.
+const COMMIT_TIMEOUT: Millis = Millis(5_000);
 
-/// The pause after a call without a usable answer.
-const PAUSE: Millis = Millis(200);
+/// Pause before the platform is read again after a call without a usable response.
+const RETRY_PAUSE: Millis = Millis(200);
 
-/// Carries a proposal out, or says what became of it.
+/// Commits a proposal and returns its outcome.
 pub async fn commit(agent: &SharedAgent, proposal: Proposal) -> Outcome {
     let base = proposal.base;
-    let mut commit = Commit::new(proposal, agent.timer.now() + LIMIT);
+    let mut commit = Commit::new(proposal, agent.timer.now() + COMMIT_TIMEOUT);
     let mut head = HeadRow::default();
     let mut step = Step::Read;
     loop {
         step = match step {
             Step::Read => {
-                let seen = look(agent, base, &mut head).await;
-                commit.on_read(agent.timer.now(), seen.as_ref())
+                let state = read_state(agent, base, &mut head).await;
+                commit.on_read(agent.timer.now(), state.as_ref())
             }
             Step::ReadLater => {
-                agent.timer.after(PAUSE).await;
+                agent.timer.after(RETRY_PAUSE).await;
                 Step::Read
             }
             Step::Write(document, revision) => {
@@ -41,12 +41,14 @@
     }
 }
 
-/// Reads the head and what goes with it; `None` if that cannot be done now.
-async fn look(agent: &Agent, base: Version, head: &mut HeadRow) -> Option<StoreState> {
+/// Reads the head, the document of its version and the revision after `base`.
+///
+/// Returns `None` if the platform cannot be read or the head changes meanwhile.
+async fn read_state(agent: &Agent, base: Version, head: &mut HeadRow) -> Option<StoreState> {
     *head = agent.platform.head().await.ok()?;
-    read_store(agent).await.ok()?;
-    let document = agent.read(|k| k.held.document().clone());
-    // The head has moved on since it was read.
+    sync_platform(agent).await.ok()?;
+    let document = agent.read(|s| s.config.document().clone());
+    // The head has changed since it was read.
     if document.version != head.version {
         return None;
     }
@@ -58,7 +60,7 @@
     Some(StoreState { document, next })
 }
 
-/// Writes a revision; once accepted it is in force here and spreads.
+/// Writes a revision; a committed one is put in force at this agent, and its followers fetch it.
 async fn write(
     agent: &SharedAgent,
     head: &HeadRow,
@@ -74,7 +76,7 @@
     tokio::spawn(async move {
         if let Err(e) = agent.platform.write_snapshot(&document).await {
             let host = &agent.settings.host;
-            log::warn!("snapshot not kept host={host} cause=\"{e}\"");
+            log::warn!("configuration snapshot not written host={host} cause=\"{e}\"");
         }
     });
     written
--- a/crates/gooseberry-agent/src/gauges.rs
+++ b/crates/gooseberry-agent/src/gauges.rs
@@ -1,4 +1,4 @@
-//! The metrics of an agent: what it believes, once a second.
+//! Gauges of an agent's view of configuration, hosts and backend servers, sent to statsd.
 
 use base::prelude::*;
 use cadence::StatsdClient;
@@ -6,23 +6,23 @@
 
 use crate::shared::{Agent, SharedAgent};
 
-/// The time between two reports.
-const PERIOD: Millis = Millis(1_000);
+/// Period at which the gauges are sent.
+const REPORT_PERIOD: Millis = Millis(1_000);
 
-/// Sends what the agent believes for ever.
+/// Sends the gauges periodically; never returns.
 pub async fn report(agent: SharedAgent, metrics: StatsdClient) {
-    let mut ticks = agent.timer.every(PERIOD);
+    let mut ticks = agent.timer.every(REPORT_PERIOD);
     loop {
         ticks.next().await;
-        for (name, value) in believed(&agent) {
-            // Metrics that cannot be sent are no concern of the agent's work.
+        for (name, value) in gauges(&agent) {
+            // Failures to send metrics must not affect the agent.
             let _ = metrics.gauge(name, value);
         }
     }
 }
 
-/// Each gauge with its value.
-fn believed(agent: &Agent) -> [(&'static str, u64); 5] {
+/// Names and current values of the gauges.
+fn gauges(agent: &Agent) -> [(&'static str, u64); 5] {
     let count = |n: usize| u64::try_from(n).unwrap_or(u64::MAX);
     let (hosts, backends, leaving) = agent.members(|m| {
         let hosts = m.hosts().filter(|(_, h)| h.is_usable()).count();
@@ -35,7 +35,7 @@
     });
     [
         ("config_version", agent.version().0),
-        ("config_fresh", u64::from(agent.spread.is_fresh())),
+        ("config_fresh", u64::from(agent.distribution.is_fresh())),
         ("hosts_alive", count(hosts)),
         ("backends_alive", count(backends)),
         ("backends_leaving", count(leaving)),
--- a/crates/gooseberry-agent/src/operate.rs
+++ b/crates/gooseberry-agent/src/operator.rs
@@ -1,4 +1,4 @@
-//! What operators with a key may ask of an agent: the configuration and the hosts.
+//! Operator endpoints of an agent that require the operator key: configuration and hosts.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,19 +19,23 @@
 use web::{Response, reply};
 
 use crate::commit::commit;
+use crate::distribution::sync_platform;
 use crate::shared::{Agent, SharedAgent};
-use crate::spread::read_store;
 
-/// The largest request body, in bytes.
-const MAX_BYTES: usize = 16 * 1024 * 1024;
+/// Maximum size of a request body, in bytes.
+const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
-/// How long another agent may take to say which version it has.
-const ABOUT: Duration = Duration::from_millis(1_000);
+/// Time limit for another agent's response about its version.
+const ABOUT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// The revisions that a history shows.
-const HISTORY: u64 = 50;
+/// Number of latest revisions in the history.
+const HISTORY_LENGTH: u64 = 50;
 
-/// Answers an operator's request; `None` if this is not one.
+/// Answers an operator's request.
+///
+/// # Errors
+///
+/// Returns the request if its path or method is not one of these endpoints.
 pub async fn handle(
     agent: &SharedAgent,
     request: Request<Incoming>,
@@ -55,7 +59,9 @@
     }
 }
 
-/// The refusal of a request whose operator's key is missing or wrong.
+/// Checks the operator key of a request; returns `None` if it is correct.
+///
+/// Otherwise logs the refusal and returns the response.
 pub fn refusal(agent: &Agent, request: &Request<Incoming>) -> Option<Response> {
     let bearer = request
         .headers()
@@ -64,29 +70,29 @@
         .and_then(|v| v.strip_prefix("Bearer "));
     let message = match (&agent.settings.operator_digest, bearer) {
         (None, _) => {
-            "this agent has no `operator_digest` in its settings; write one to admit operators"
+            "`operator_digest` is not set in the agent's settings; set it to admit operators"
         }
         (_, None) => "no operator's key; send `Authorization: Bearer KEY`",
         (Some(digest), Some(key)) if key_digest(key) == *digest => return None,
-        _ => "the operator's key is wrong; use the one whose digest stands in the agent's settings",
+        _ => "the operator's key is wrong; use the one whose digest is in the agent's settings",
     };
     let host = &agent.settings.host;
     let path = request.uri().path();
-    log::warn!("operator refused host={host} path={path} cause=\"{message}\"");
+    log::warn!("operator request refused host={host} path={path} cause=\"{message}\"");
     Some(error(StatusCode::UNAUTHORIZED, "unauthorized", message))
 }
 
 async fn show(agent: &Agent) -> Response {
-    let is_fresh = read_store(agent).await.is_ok();
-    let document = agent.read(|k| k.held.document().clone());
+    let is_fresh = sync_platform(agent).await.is_ok();
+    let document = agent.read(|s| s.config.document().clone());
     reply::json(StatusCode::OK, &Shown { document, is_fresh })
 }
 
 async fn history(agent: &Agent) -> Response {
-    let is_read = read_store(agent).await;
+    let synced = sync_platform(agent).await;
     let last = agent.version().0;
-    let first = (last + 1).saturating_sub(HISTORY).max(1);
-    let revisions: Result<Vec<Revision>, String> = match is_read {
+    let first = (last + 1).saturating_sub(HISTORY_LENGTH).max(1);
+    let revisions: Result<Vec<Revision>, String> = match synced {
         Ok(()) => {
             let read = agent.platform.revisions(first, last).await;
             read.map_err(|e| e.to_string())
@@ -96,35 +102,40 @@
     match revisions {
         Ok(revisions) => reply::json(StatusCode::OK, &revisions),
         Err(cause) => {
-            let message = format!("the platform gives no history: {cause}; try again later");
+            let message = format!(
+                "configuration history not read from the platform: {cause}; try again later"
+            );
             error(StatusCode::SERVICE_UNAVAILABLE, "unavailable", &message)
         }
     }
 }
 
 async fn difference(agent: &Agent, request: Request<Incoming>) -> Response {
-    let mut wanted: Document = match reply::read_json(request, MAX_BYTES).await {
-        Ok(wanted) => wanted,
+    let mut desired: Document = match reply::read_json(request, MAX_BODY_BYTES).await {
+        Ok(desired) => desired,
         Err(e) => return error(StatusCode::BAD_REQUEST, "malformed", &e.to_string()),
     };
-    wanted.sort();
-    // Without the platform the answer is for the version that is in force here, and says so.
-    let _ = read_store(agent).await;
-    let answer = agent.read(|k| Difference {
-        version: k.held.version(),
-        changes: diff(k.held.document(), &wanted),
+    desired.sort();
+    // If the platform is unavailable, the difference is to the version in force at this agent, which
+    // the response names.
+    let _ = sync_platform(agent).await;
+    let answer = agent.read(|s| Difference {
+        version: s.config.version(),
+        changes: diff(s.config.document(), &desired),
     });
     reply::json(StatusCode::OK, &answer)
 }
 
 async fn apply(agent: &SharedAgent, request: Request<Incoming>) -> Response {
-    let proposal: Proposal = match reply::read_json(request, MAX_BYTES).await {
+    let proposal: Proposal = match reply::read_json(request, MAX_BODY_BYTES).await {
         Ok(proposal) => proposal,
         Err(e) => return error(StatusCode::BAD_REQUEST, "malformed", &e.to_string()),
     };
     let (host, operation) = (&agent.settings.host, proposal.operation.clone());
     let outcome = commit(agent, proposal).await;
-    log::info!("proposal ended host={host} operation={operation} outcome={outcome:?}");
+    log::info!(
+        "configuration proposal finished host={host} operation={operation} outcome={outcome:?}"
+    );
     reply::json(status(&outcome), &outcome)
 }
 
@@ -140,29 +151,29 @@
     }
 }
 
-/// All known entry hosts, each with what its agent says now.
+/// All listed entry hosts, each with its agent's response; `about` is `None` if there was none.
 async fn hosts(agent: &Agent) -> Vec<HostState> {
-    let known: Vec<(HostState, SocketAddr)> = agent.read(|known| {
-        let list = known.hosts.hosts.iter();
+    let listed: Vec<(HostState, SocketAddr)> = agent.read(|state| {
+        let list = state.hosts.hosts.iter();
         list.filter_map(|host| match host.kind {
             HostKind::Entry { agent, .. } => {
-                let state = HostState {
+                let shown = HostState {
                     host: HostId(host.name.clone()),
                     data_centre: host.data_centre.clone(),
                     leaving: host.leaving,
                     about: None,
                 };
-                Some((state, agent))
+                Some((shown, agent))
             }
             HostKind::Backend { .. } => None,
         })
         .collect()
     });
-    let asked = known.into_iter().map(|(mut state, addr)| async move {
-        state.about = AgentLink::new(addr).about(ABOUT).await.ok();
-        state
+    let calls = listed.into_iter().map(|(mut shown, addr)| async move {
+        shown.about = AgentLink::new(addr).about(ABOUT_TIMEOUT).await.ok();
+        shown
     });
-    join_all(asked).await
+    join_all(calls).await
 }
 
 fn error(status: StatusCode, kind: &'static str, message: &str) -> Response {
--- a/crates/gooseberry-agent/src/shared.rs
+++ b/crates/gooseberry-agent/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the parts of an agent share.
+//! State shared by the tasks of an agent.
 
 use std::sync::{Arc, Mutex};
 
@@ -15,50 +15,50 @@
 use timer::Timer;
 use tokio::sync::watch;
 
-use crate::caches::Blocks;
+use crate::caches::CachedBlocks;
+use crate::distribution::Distribution;
 use crate::heartbeats::Links;
 use crate::members::{backend_views, host_views};
-use crate::spread::Spread;
 
-/// What an agent knows.
+/// Configuration, host list and engine caches as last received.
 #[derive(Debug, Default)]
-pub struct Known {
-    /// The configuration.
-    pub held: ConfigCache,
-    /// The host list.
+pub struct AgentState {
+    /// The configuration in force, with the latest revisions for followers.
+    pub config: ConfigCache,
+    /// The host list as last read from the platform.
     pub hosts: HostList,
-    /// What the engines hold in their caches.
-    pub caches: Sorted<BackendId, Blocks>,
+    /// Sampled prompt blocks in the engines' prefix caches.
+    pub caches: Sorted<BackendId, CachedBlocks>,
 }
 
-/// An agent.
+/// State of an agent, shared by its tasks.
 pub struct Agent {
-    /// The settings.
+    /// Settings read at start.
     pub settings: Settings,
-    /// The timer.
+    /// Monotonic clock and sleeps.
     pub timer: Timer,
-    /// The life of this process.
+    /// Incarnation of this process, drawn at random at start.
     pub incarnation: Incarnation,
-    /// The platform.
+    /// Client of the platform.
     pub platform: Platform,
-    /// How the configuration spreads.
-    pub spread: Spread,
-    /// Connections to other agents.
+    /// State of the configuration distribution.
+    pub distribution: Distribution,
+    /// Connections to other agents for heartbeats.
     pub links: Links,
     members: Mutex<Members>,
-    known: Mutex<Known>,
+    state: Mutex<AgentState>,
     revision: watch::Sender<u64>,
 }
 
 impl Agent {
-    /// An agent that knows nothing yet.
+    /// An agent without configuration and host list.
     pub fn new(settings: Settings, timer: Timer) -> Self {
         let platform = Platform {
             addr: settings.platform,
             limit: Millis(settings.platform_ms).duration(),
         };
         let incarnation = Incarnation(rand::random());
-        let own = own(&settings, timer.now(), incarnation);
+        let own = own_host(&settings, timer.now(), incarnation);
         let policy = Policy {
             poll_min: Millis(settings.load_ms),
             ..Policy::default()
@@ -68,28 +68,28 @@
             timer,
             incarnation,
             platform,
-            spread: Spread::default(),
+            distribution: Distribution::default(),
             links: Links::default(),
             members: Mutex::new(Members::new(own, policy)),
-            known: Mutex::default(),
+            state: Mutex::default(),
             revision: watch::Sender::new(1),
         }
     }
 
-    /// Reads what is known.
-    pub fn read<T>(&self, read: impl FnOnce(&Known) -> T) -> T {
-        read(&self.known.lock().unwrap_or_else(|e| e.into_inner()))
+    /// Reads the state under its lock.
+    pub fn read<T>(&self, read: impl FnOnce(&AgentState) -> T) -> T {
+        read(&self.state.lock().unwrap_or_else(|e| e.into_inner()))
     }
 
-    /// Changes what is known; `change` says whether it did.
-    pub fn change(&self, change: impl FnOnce(&mut Known) -> bool) {
-        let mut known = self.known.lock().unwrap_or_else(|e| e.into_inner());
-        if change(&mut known) {
+    /// Changes the state under its lock; increments the view's revision if `change` returns true.
+    pub fn change(&self, change: impl FnOnce(&mut AgentState) -> bool) {
+        let mut state = self.state.lock().unwrap_or_else(|e| e.into_inner());
+        if change(&mut state) {
             self.revision.send_modify(|r| *r += 1);
         }
     }
 
-    /// Reads or changes what is believed of hosts and backend servers.
+    /// Reads or changes the members; increments the view's revision if theirs changes.
     pub fn members<T>(&self, change: impl FnOnce(&mut Members) -> T) -> T {
         let mut members = self.members.lock().unwrap_or_else(|e| e.into_inner());
         let before = members.revision();
@@ -100,33 +100,34 @@
         result
     }
 
-    /// Whether this host takes no new work.
+    /// Whether this host is leaving, so that it accepts no new work.
     pub fn is_leaving(&self) -> bool {
         self.members(|m| m.own().lifecycle.leaving)
     }
 
-    /// Waits until this host takes no new work.
-    pub async fn until_leaving(&self) {
-        let mut news = self.revision.subscribe();
+    /// Waits until this host is leaving.
+    pub async fn wait_leaving(&self) {
+        let mut revisions = self.revision.subscribe();
         while !self.is_leaving() {
-            // The sender is a part of this agent.
-            let _ = news.changed().await;
+            // Cannot fail: `self` owns the sender.
+            let _ = revisions.changed().await;
         }
     }
 
     /// The version of the configuration; 0 if there is none.
     pub fn version(&self) -> Version {
-        self.read(|k| k.held.version())
+        self.read(|s| s.config.version())
     }
 
-    /// Waits until the revision differs from `revision` or `wait` has passed.
-    pub async fn news(&self, revision: u64, wait: Millis) {
-        let mut news = self.revision.subscribe();
-        let changed = news.wait_for(|r| *r != revision);
+    /// Waits until the view's revision differs from `revision`, at most `wait`.
+    pub async fn wait_revision(&self, revision: u64, wait: Millis) {
+        let mut revisions = self.revision.subscribe();
+        let changed = revisions.wait_for(|r| *r != revision);
         let _ = tokio::time::timeout(wait.duration(), changed).await;
     }
 
-    /// The view for a router that holds `version` of the configuration.
+    /// The view for a router that has `version` of the configuration; the document is left out unless
+    /// it is newer.
     pub fn view(&self, version: Version) -> View {
         let now = self.timer.now();
         self.members(|m| m.refresh(now));
@@ -135,17 +136,17 @@
             let leaving = m.own().lifecycle.leaving;
             (host_views(m), backend_views(m, now), leaving)
         });
-        self.read(|known| {
+        self.read(|state| {
             for view in &mut backends {
-                let held = known.caches.get(&view.backend);
-                view.blocks = held.map_or_else(Vec::new, |b| b.held.clone());
+                let cached = state.caches.get(&view.backend);
+                view.blocks = cached.map_or_else(Vec::new, |b| b.hashes.clone());
             }
-            let held = known.held.document();
+            let document = state.config.document();
             View {
                 revision,
                 incarnation: self.incarnation,
-                document: (held.version > version).then(|| held.clone()),
-                version: held.version,
+                document: (document.version > version).then(|| document.clone()),
+                version: document.version,
                 hosts,
                 backends,
                 drain,
@@ -154,8 +155,8 @@
     }
 }
 
-/// The host of an agent; where its router is, the host list tells.
-fn own(settings: &Settings, now: Millis, incarnation: Incarnation) -> OwnHost {
+/// This host as a member; the router's address is a placeholder until the host list confirms it.
+fn own_host(settings: &Settings, now: Millis, incarnation: Incarnation) -> OwnHost {
     let place = Place {
         data_centre: settings.data_centre.clone(),
         router: settings.listen.peers,
@@ -164,5 +165,5 @@
     OwnHost::new(now, settings.host.clone(), place, incarnation)
 }
 
-/// A shared agent.
+/// Handle to the agent, one for each task.
 pub type SharedAgent = Arc<Agent>;
--- a/crates/gooseberryctl/src/client.rs
+++ b/crates/gooseberryctl/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to the operators' entry of agents.
+//! Client of the operator endpoints of agents.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,16 +16,16 @@
 use crate::options::Options;
 use crate::outcome::CommandError;
 
-/// The longest wait for an answer; above the time for which an agent tries a proposal.
-const LIMIT: Duration = Duration::from_secs(10);
+/// Time limit of a call; longer than an agent's time limit for a proposal.
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How often a proposal is sent when its answer does not come; its operation id makes that safe.
-const TRIES: usize = 3;
+/// Number of attempts to send a proposal without a response; its operation id makes retries safe.
+const MAX_ATTEMPTS: usize = 3;
 
-/// The variable that holds the operators' key.
-const KEY: &str = "GOOSEBERRY_KEY";
+/// Environment variable with the operator key.
+const KEY_VARIABLE: &str = "GOOSEBERRY_KEY";
 
-/// An agent, and the key that it asks for.
+/// Client of one agent, with the operator key that it requires.
 #[derive(Clone, Debug)]
 pub struct Client {
     addr: SocketAddr,
@@ -33,11 +33,11 @@
 }
 
 impl Client {
-    /// The agent and the key that the options name.
+    /// Creates a client for the agent and the key that the options name.
     ///
     /// # Errors
     ///
-    /// `NoAgent`, `NoKey` or `Unreadable`.
+    /// `NoAgent`, `NoKey` or `Unreadable` (key file).
     pub fn new(options: &Options) -> Result<Self, CommandError> {
         let addr = options.agent.ok_or(CommandError::NoAgent)?;
         let key = match &options.key_file {
@@ -45,13 +45,13 @@
                 let file = file.clone();
                 CommandError::Unreadable { file, cause }
             })?,
-            None => std::env::var(KEY).map_err(|_| CommandError::NoKey)?,
+            None => std::env::var(KEY_VARIABLE).map_err(|_| CommandError::NoKey)?,
         };
         let key = key.trim().to_owned();
         Ok(Self { addr, key })
     }
 
-    /// The accepted configuration.
+    /// Fetches the accepted configuration, or the agent's own copy if the platform is unavailable.
     ///
     /// # Errors
     ///
@@ -60,7 +60,7 @@
         self.call(Method::GET, "/v1/config", &()).await
     }
 
-    /// The latest accepted changes.
+    /// Fetches the latest accepted revisions.
     ///
     /// # Errors
     ///
@@ -69,16 +69,16 @@
         self.call(Method::GET, "/v1/config/history", &()).await
     }
 
-    /// The changes that make `wanted` of the accepted configuration.
+    /// Fetches the changes from the accepted configuration to `desired`.
     ///
     /// # Errors
     ///
     /// `Call` or `Unauthorized`.
-    pub async fn diff(&self, wanted: &Document) -> Result<Difference, CommandError> {
-        self.call(Method::POST, "/v1/config/diff", wanted).await
+    pub async fn diff(&self, desired: &Document) -> Result<Difference, CommandError> {
+        self.call(Method::POST, "/v1/config/diff", desired).await
     }
 
-    /// All known entry hosts.
+    /// Fetches the state of all listed entry hosts.
     ///
     /// # Errors
     ///
@@ -87,14 +87,18 @@
         self.call(Method::GET, "/v1/hosts", &()).await
     }
 
-    /// Sends a proposal; one without an answer is read back by sending it again.
+    /// Sends a proposal and retries it if no response comes: a retry returns the outcome of an
+    /// operation that was already accepted.
+    ///
+    /// Returns `Unknown` if a proposal that may have been received gets no conclusive response.
     ///
     /// # Errors
     ///
-    /// `Unauthorized`, or `Call` if it was certainly not received.
+    /// `Unauthorized`; `Call` if the proposal was certainly not received or a response cannot be
+    /// decoded.
     pub async fn apply(&self, proposal: &Proposal) -> Result<Outcome, CommandError> {
         let mut may_be_received = false;
-        for _ in 0..TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             match self.send(Method::POST, "/v1/config/apply", proposal).await {
                 Ok((StatusCode::UNAUTHORIZED, body)) => {
                     return Err(CommandError::Unauthorized(message(&body)));
@@ -112,12 +116,12 @@
         Ok(Outcome::Unknown { operation })
     }
 
-    /// Calls the agent of another host.
+    /// Calls the agent of `host`, looked up through this one.
     ///
     /// # Errors
     ///
     /// `NoHost`, `Call` or `Unauthorized`.
-    pub async fn at_host(
+    pub async fn call_host(
         &self,
         host: &str,
         method: Method,
@@ -166,7 +170,7 @@
         if let Ok(value) = format!("Bearer {}", self.key).parse() {
             request.headers_mut().insert("authorization", value);
         }
-        let response = web::client::send(self.addr, request, LIMIT).await?;
+        let response = web::client::send(self.addr, request, CALL_TIMEOUT).await?;
         let status = response.status();
         match web::client::read_whole(self.addr, response).await {
             Ok(bytes) => Ok((status, String::from_utf8_lossy(&bytes).into_owned())),
@@ -181,7 +185,7 @@
     }
 }
 
-/// The message in an error body, or the whole body.
+/// The message in a JSON error body, or the entire body.
 fn message(body: &str) -> String {
     let value: Value = serde_json::from_str(body).unwrap_or_default();
     match value["message"].as_str() {
--- a/crates/gooseberryctl/src/wait.rs
+++ b/crates/gooseberryctl/src/wait.rs
@@ -9,56 +9,57 @@
 use crate::client::Client;
 use crate::outcome::CommandError;
 
-/// The time between two looks at the hosts.
-const LOOK: Duration = Duration::from_millis(250);
+/// Period at which the hosts are polled.
+const POLL_PERIOD: Duration = Duration::from_millis(250);
 
-/// How far a version has come.
+/// Number of hosts with a version in force, and the hosts without it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Progress {
-    /// The hosts that have it.
+    /// Number of hosts that have it or a later version.
     pub done: usize,
-    /// The hosts that do not, each with the version that it has, if it answers.
+    /// Hosts that do not, each with its version in force; `None` if its agent does not answer.
     pub lagging: Vec<(HostId, Option<Version>)>,
 }
 
-/// Waits at most `limit`, and tells `say` of each step.
+/// Polls the hosts until all have `version` or `limit` has passed; calls `on_change` whenever the
+/// progress changes.
 ///
 /// # Errors
 ///
 /// `Call` or `Unauthorized`.
-pub async fn until_in_force(
+pub async fn wait_in_force(
     client: &Client,
     version: Version,
     limit: Duration,
-    say: impl Fn(&Progress),
+    on_change: impl Fn(&Progress),
 ) -> Result<Progress, CommandError> {
     let deadline = Instant::now() + limit;
     let mut last = None;
     loop {
         let progress = progress(&client.hosts().await?, version);
         if last.as_ref() != Some(&progress) {
-            say(&progress);
+            on_change(&progress);
         }
         if progress.lagging.is_empty() || Instant::now() > deadline {
             return Ok(progress);
         }
         last = Some(progress);
-        sleep(LOOK).await;
+        sleep(POLL_PERIOD).await;
     }
 }
 
-/// How far `version` has come on `hosts`.
+/// Progress of `version` on `hosts`.
 pub fn progress(hosts: &[HostState], version: Version) -> Progress {
-    let held = |h: &HostState| h.about.as_ref().map(|a| a.version);
-    let has = |h: &&HostState| held(h).is_some_and(|v| v >= version);
+    let version_of = |h: &HostState| h.about.as_ref().map(|a| a.version);
+    let has = |h: &&HostState| version_of(h).is_some_and(|v| v >= version);
     let lagging = hosts.iter().filter(|h| !has(h));
     Progress {
         done: hosts.iter().filter(has).count(),
-        lagging: lagging.map(|h| (h.host.clone(), held(h))).collect(),
+        lagging: lagging.map(|h| (h.host.clone(), version_of(h))).collect(),
     }
 }
 
-/// The lagging hosts in words.
+/// Formats the lagging hosts as a comma-separated list.
 pub fn describe(lagging: &[(HostId, Option<Version>)]) -> String {
     let one = |(host, version): &(HostId, Option<Version>)| match version {
         Some(version) => format!("{host} at version {version}"),
