--- a/crates/gooseberry-bench/src/calls.rs
+++ b/crates/gooseberry-bench/src/calls.rs
@@ -20,7 +20,7 @@
 
 use crate::harness::fleet::{Fleet, PlainPlan, Plan};
 use crate::harness::{BenchError, build};
-use caller::{Ask, End, Seen, Submission};
+use caller::{Call, CallResult, Outcome, Submission};
 
 /// The bearer key of the workspace.
 const BEARER: &str = "crew-key";
@@ -35,13 +35,13 @@
 const HOSTS: usize = 3;
 
 /// The time for processes that were ended to let go of their addresses.
-const LET_GO: Duration = Duration::from_millis(500);
+const ADDRESS_RELEASE: Duration = Duration::from_millis(500);
 
 /// The time after the last answer in which a wrong run would still show.
 const SETTLE: Duration = Duration::from_secs(4);
 
 /// The bound on transactions a call.
-const MAX_WRITES: f64 = 0.5;
+const MAX_WRITES_PER_CALL: f64 = 0.5;
 
 /// How the experiment runs.
 #[derive(Clone, Debug, Bpaf)]
@@ -64,29 +64,29 @@
 
 /// Runs the experiment; returns whether all bounds hold.
 pub(crate) async fn run(options: Options) -> Result<bool, BenchError> {
-    let say = |text: &str| {
+    let progress = |text: &str| {
         if !options.json {
             println!("{text}");
         }
     };
-    say("building the programs");
+    progress("building the programs");
     let programs = build::programs().await?;
     let metrics = load::Metrics::listen().await?;
-    say("starting 3 entry hosts and 3 servers of a plain service");
+    progress("starting 3 entry hosts and 3 servers of a plain service");
     let plan = plan(Claims::default(), &metrics);
     let mut fleet = Fleet::start(&programs, &plan).await?;
-    say("calling while the store is up, then while it is down");
-    let available = available(&fleet).await?;
-    say("calling under faults");
-    let faulty = faulty(&mut fleet, &options).await?;
+    progress("calling while the store is up, then while it is down");
+    let availability = measure_availability(&fleet).await?;
+    progress("calling under faults");
+    let under_faults = run_under_faults(&mut fleet, &options).await?;
     drop(fleet);
-    sleep(LET_GO).await;
-    say("calling under load, with batches of claims");
+    sleep(ADDRESS_RELEASE).await;
+    progress("calling under load, with batches of claims");
     let fleet = Fleet::start(&programs, &plan).await?;
     let batched = load::run(&fleet, &metrics, "batched", options.rate, options.seconds).await?;
     drop(fleet);
-    sleep(LET_GO).await;
-    say("calling under load, each claim by itself");
+    sleep(ADDRESS_RELEASE).await;
+    progress("calling under load, each claim by itself");
     let single = Claims {
         delay_ms: 0,
         size: 1,
@@ -96,7 +96,7 @@
     let fleet = Fleet::start(&programs, &plan).await?;
     let baseline = load::run(&fleet, &metrics, "single", options.rate, options.seconds).await?;
     let mut report = json!({
-        "available": available,
+        "available": availability,
         "claim_ms": batched["claim_ms"],
         "writes_per_call": batched["writes_per_call"],
         "load": batched,
@@ -111,61 +111,71 @@
         },
         "commit": commit().await,
     });
-    if let (Some(all), Value::Object(faulty)) = (report.as_object_mut(), faulty) {
-        all.extend(faulty);
+    if let (Some(all), Value::Object(under_faults)) = (report.as_object_mut(), under_faults) {
+        all.extend(under_faults);
     }
-    let holds = holds(&report);
+    let is_within = is_within_bounds(&report);
     println!("{report:#}");
-    say(if holds { "all bounds hold" } else { "FAILED" });
-    Ok(holds)
+    progress(if is_within {
+        "all bounds hold"
+    } else {
+        "FAILED"
+    });
+    Ok(is_within)
 }
 
 /// Whether the report keeps the bounds.
-fn holds(report: &Value) -> bool {
-    let none = ["false_not_run", "crossed", "untold"];
+fn is_within_bounds(report: &Value) -> bool {
+    let zero_counts = ["false_not_run", "crossed", "untold"];
     report["runs_max"] == 1
-        && none.iter().all(|name| report[name] == 0)
+        && zero_counts.iter().all(|name| report[name] == 0)
         && report["writes_per_call"]
             .as_f64()
-            .is_some_and(|w| w < MAX_WRITES)
+            .is_some_and(|w| w < MAX_WRITES_PER_CALL)
 }
 
 /// Calls with the store up and down, without other faults.
-async fn available(fleet: &Fleet) -> Result<Value, BenchError> {
-    let up = share(fleet, "up", true).await;
+async fn measure_availability(fleet: &Fleet) -> Result<Value, BenchError> {
+    let up = answered_share(fleet, "up", true).await;
     let outage = |on| Switch {
         outage: Some(on),
         ..Switch::default()
     };
     fleet.switch(fleet.platform_addr, &outage(true)).await?;
-    let (given, minted) = tokio::join!(share(fleet, "down", true), share(fleet, "none", false));
+    let (given, minted) = tokio::join!(
+        answered_share(fleet, "down", true),
+        answered_share(fleet, "none", false)
+    );
     fleet.switch(fleet.platform_addr, &outage(false)).await?;
     Ok(json!({ "up": up, "down": { "given_key": given, "minted_key": minted } }))
 }
 
 /// The share of calls that are answered.
-async fn share(fleet: &Fleet, name: &str, has_key: bool) -> f64 {
+async fn answered_share(fleet: &Fleet, name: &str, has_key: bool) -> f64 {
     /// The calls of one measurement.
     const CALLS: usize = 200;
-    let ask = |i: usize| Ask {
+    let call = |i: usize| Call {
         key: has_key.then(|| format!("{name}-{i}")),
         text: format!("{name} {i}"),
         hosts: fleet.hosts.iter().map(|h| h.callers).collect(),
-        first: i,
-        repeats: 0,
+        first_host: i,
+        max_retries: 0,
     };
-    let asks: Vec<Ask> = (0..CALLS).map(ask).collect();
-    let seen = futures_util::future::join_all(asks.iter().map(Ask::run)).await;
-    let answered = seen.iter().filter(|s| s.end() == End::Answered).count();
+    let calls: Vec<Call> = (0..CALLS).map(call).collect();
+    let results = futures_util::future::join_all(calls.iter().map(Call::run)).await;
+    let answered = results
+        .iter()
+        .filter(|r| r.outcome() == Outcome::Answered)
+        .count();
     answered as f64 / CALLS as f64
 }
 
 /// Calls under faults, and what became of each key.
-async fn faulty(fleet: &mut Fleet, options: &Options) -> Result<Value, BenchError> {
-    let asks = faults::asks(fleet, options.keys, options.seed);
-    let calling = tokio::spawn(faults::call_all(asks.clone()));
-    let count = faults::inject(fleet, options.seed, &calling).await?;
-    let seen = calling.await.unwrap_or_default();
+async fn run_under_faults(fleet: &mut Fleet, options: &Options) -> Result<Value, BenchError> {
+    let calls = faults::calls(fleet, options.keys, options.seed);
+    let callers = tokio::spawn(faults::call_all(calls.clone()));
+    let injected = faults::inject(fleet, options.seed, &callers).await?;
+    let results = callers.await.unwrap_or_default();
     sleep(SETTLE).await;
     let mut runs: Sorted<String, u64> = Sorted::default();
     for server in &fleet.plain {
@@ -175,37 +185,43 @@
             *runs.entry(key.to_owned(), || 0) += 1;
         }
     }
-    Ok(judge(&asks, &seen, &runs, count))
+    Ok(count_results(&calls, &results, &runs, injected))
 }
 
 /// Counts what must not be, and what was.
-fn judge(asks: &[Ask], seen: &[Seen], runs: &Sorted<String, u64>, faults: Value) -> Value {
-    let all = || asks.iter().zip(seen);
-    let ran = |ask: &Ask| ask.key.as_ref().and_then(|k| runs.get(k)).copied();
-    let is_false = |(ask, seen): &(&Ask, &Seen)| {
-        let is_told = seen.submissions.contains(&Submission::NotRun);
-        is_told && ran(ask).unwrap_or(0) > 0
+fn count_results(
+    calls: &[Call],
+    results: &[CallResult],
+    runs: &Sorted<String, u64>,
+    faults: Value,
+) -> Value {
+    let all = || calls.iter().zip(results);
+    let runs_of = |call: &Call| call.key.as_ref().and_then(|k| runs.get(k)).copied();
+    let is_false_not_run = |(call, result): &(&Call, &CallResult)| {
+        let says_not_run = result.submissions.contains(&Submission::NotRun);
+        says_not_run && runs_of(call).unwrap_or(0) > 0
     };
-    let ends = |end: End| seen.iter().filter(|s| s.end() == end).count();
-    let mut keys: Vec<&String> = asks.iter().filter_map(|a| a.key.as_ref()).collect();
+    let count_outcome =
+        |outcome: Outcome| results.iter().filter(|r| r.outcome() == outcome).count();
+    let mut keys: Vec<&String> = calls.iter().filter_map(|c| c.key.as_ref()).collect();
     keys.sort();
     keys.dedup();
-    let crossed = seen
+    let crossed = results
         .iter()
-        .flat_map(|s| &s.submissions)
+        .flat_map(|r| &r.submissions)
         .filter(|s| **s == Submission::Crossed);
     json!({
         "keys": keys.len(),
-        "callers": asks.len(),
-        "submissions": seen.iter().map(|s| s.submissions.len()).sum::<usize>(),
+        "callers": calls.len(),
+        "submissions": results.iter().map(|r| r.submissions.len()).sum::<usize>(),
         "runs": runs.iter().map(|(_, n)| *n).sum::<u64>(),
         "runs_max": runs.iter().map(|(_, n)| *n).max().unwrap_or(0),
-        "false_not_run": all().filter(is_false).count(),
+        "false_not_run": all().filter(is_false_not_run).count(),
         "crossed": crossed.count(),
-        "answered": ends(End::Answered),
-        "not_run": ends(End::NotRun),
-        "unknown": ends(End::Unknown),
-        "untold": ends(End::Untold),
+        "answered": count_outcome(Outcome::Answered),
+        "not_run": count_outcome(Outcome::NotRun),
+        "unknown": count_outcome(Outcome::Unknown),
+        "untold": count_outcome(Outcome::NoAnswer),
         "faults": faults,
     })
 }
@@ -214,16 +230,16 @@
 fn plan(claims: Claims, metrics: &load::Metrics) -> Plan {
     let near = DataCentre::from("vn-south-a");
     let far = DataCentre::from("vn-south-b");
-    let places = vec![near.clone(), near, far];
+    let data_centres = vec![near.clone(), near, far];
     Plan {
-        hosts: places.clone(),
+        hosts: data_centres.clone(),
         engines: Vec::new(),
         service: ServiceName::from("draft-model"),
         engine: engine::Settings::default(),
         platform: platform::Settings::default(),
         document: document(),
         plain: PlainPlan {
-            servers: places,
+            servers: data_centres,
             service: ServiceName::from(SERVICE),
             settings: service::Settings::default(),
             claims,
--- a/crates/gooseberry-bench/src/calls/caller.rs
+++ b/crates/gooseberry-bench/src/calls/caller.rs
@@ -13,14 +13,14 @@
 use super::{BEARER, DEADLINE_MS, SERVICE};
 
 /// The longest wait of a caller; beyond the deadline it allows for a paused router.
-const WAIT: Duration = Duration::from_millis(DEADLINE_MS + 1_500);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(DEADLINE_MS + 1_500);
 
 /// The wait before a caller comes back.
-const COME_BACK: Duration = Duration::from_millis(300);
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// One call that may not repeat.
 #[derive(Clone, Debug)]
-pub(crate) struct Ask {
+pub(crate) struct Call {
     /// The key; without one the router makes it.
     pub(crate) key: Option<String>,
     /// What the call says; no two keys say the same.
@@ -28,9 +28,9 @@
     /// The entry hosts.
     pub(crate) hosts: Vec<SocketAddr>,
     /// The host to begin with.
-    pub(crate) first: usize,
+    pub(crate) first_host: usize,
     /// How often the call is repeated at most.
-    pub(crate) repeats: usize,
+    pub(crate) max_retries: usize,
 }
 
 /// What came of one submission.
@@ -43,23 +43,23 @@
     /// It was not run and never will be.
     NotRun,
     /// It may have run; a repeat may tell.
-    Unsure,
+    Unknown,
     /// It may have run; a repeat will not tell.
-    Lost,
+    Unresolvable,
     /// No answer at all: the router died, was paused, or takes no connections.
-    Silent,
+    NoAnswer,
 }
 
 /// All that a caller saw.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Seen {
+pub(crate) struct CallResult {
     /// What came of each submission, in order.
     pub(crate) submissions: Vec<Submission>,
 }
 
 /// What a caller knows in the end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum End {
+pub(crate) enum Outcome {
     /// It has its answer.
     Answered,
     /// It knows that the call was not run.
@@ -67,43 +67,43 @@
     /// It was told that this is not known.
     Unknown,
     /// It was told nothing.
-    Untold,
+    NoAnswer,
 }
 
-impl Seen {
+impl CallResult {
     /// What the caller knows in the end.
-    pub(crate) fn end(&self) -> End {
-        let has = |one: Submission| self.submissions.contains(&one);
+    pub(crate) fn outcome(&self) -> Outcome {
+        let has = |submission: Submission| self.submissions.contains(&submission);
         if has(Submission::Answered) {
-            End::Answered
+            Outcome::Answered
         } else if has(Submission::NotRun) {
-            End::NotRun
-        } else if has(Submission::Unsure) || has(Submission::Lost) {
-            End::Unknown
+            Outcome::NotRun
+        } else if has(Submission::Unknown) || has(Submission::Unresolvable) {
+            Outcome::Unknown
         } else {
-            End::Untold
+            Outcome::NoAnswer
         }
     }
 }
 
-impl Ask {
+impl Call {
     /// Calls, and repeats the call while that may tell more.
-    pub(crate) async fn run(&self) -> Seen {
-        let mut seen = Seen::default();
-        for i in 0..=self.repeats {
-            let host = self.hosts[(self.first + i) % self.hosts.len()];
-            let one = timeout(WAIT, self.once(host)).await;
-            let one = one.unwrap_or(Submission::Silent);
-            seen.submissions.push(one);
-            if !matches!(one, Submission::Unsure | Submission::Silent) {
+    pub(crate) async fn run(&self) -> CallResult {
+        let mut result = CallResult::default();
+        for i in 0..=self.max_retries {
+            let host = self.hosts[(self.first_host + i) % self.hosts.len()];
+            let submission = timeout(RESPONSE_TIMEOUT, self.send_once(host)).await;
+            let submission = submission.unwrap_or(Submission::NoAnswer);
+            result.submissions.push(submission);
+            if !matches!(submission, Submission::Unknown | Submission::NoAnswer) {
                 break;
             }
-            sleep(COME_BACK).await;
+            sleep(RETRY_DELAY).await;
         }
-        seen
+        result
     }
 
-    async fn once(&self, host: SocketAddr) -> Submission {
+    async fn send_once(&self, host: SocketAddr) -> Submission {
         let path = format!("/v1/services/{SERVICE}/confirm");
         let body = json!({ "text": self.text });
         let mut request = client::json_request(host, Method::POST, &path, &body);
@@ -117,19 +117,19 @@
         if let Some(key) = &self.key {
             put("idempotency-key", key.clone());
         }
-        let Ok(response) = client::send(host, request, WAIT).await else {
-            return Submission::Silent;
+        let Ok(response) = client::send(host, request, RESPONSE_TIMEOUT).await else {
+            return Submission::NoAnswer;
         };
-        let helps = response.headers().contains_key(RETRY_AFTER);
+        let can_retry = response.headers().contains_key(RETRY_AFTER);
         match client::read_whole(host, response).await {
-            Ok(bytes) => self.judge(&bytes, &body.to_string()),
-            Err(client::CallError::Status { body, .. }) => told(&body, helps),
-            Err(_) => Submission::Silent,
+            Ok(bytes) => self.check_answer(&bytes, &body.to_string()),
+            Err(client::CallError::Status { body, .. }) => classify_error(&body, can_retry),
+            Err(_) => Submission::NoAnswer,
         }
     }
 
     /// Whether an answer is the one to this call.
-    fn judge(&self, bytes: &[u8], body: &str) -> Submission {
+    fn check_answer(&self, bytes: &[u8], body: &str) -> Submission {
         let Ok(receipt) = serde_json::from_slice::<Receipt>(bytes) else {
             return Submission::Crossed;
         };
@@ -143,12 +143,12 @@
 }
 
 /// What an error says.
-fn told(body: &str, helps: bool) -> Submission {
+fn classify_error(body: &str, can_retry: bool) -> Submission {
     let error: Value = serde_json::from_str(body).unwrap_or_default();
     match error["ran"].as_str() {
         Some("not_run") => Submission::NotRun,
-        Some("unknown" | "ran") if helps => Submission::Unsure,
-        Some("unknown" | "ran") => Submission::Lost,
-        _ => Submission::Silent,
+        Some("unknown" | "ran") if can_retry => Submission::Unknown,
+        Some("unknown" | "ran") => Submission::Unresolvable,
+        _ => Submission::NoAnswer,
     }
 }
--- a/crates/gooseberry-bench/src/calls/faults.rs
+++ b/crates/gooseberry-bench/src/calls/faults.rs
@@ -14,21 +14,21 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-use super::caller::{Ask, Seen};
+use super::caller::{Call, CallResult};
 use crate::harness::BenchError;
 use crate::harness::fleet::{CALL, Fleet};
 
 /// The time between two callers.
-const PACE: Duration = Duration::from_millis(12);
+const CALL_INTERVAL: Duration = Duration::from_millis(12);
 
 /// The time between the end of one fault and the next of its kind.
-const CALM: Duration = Duration::from_millis(400);
+const FAULT_INTERVAL: Duration = Duration::from_millis(400);
 
 /// One key in so many is called on two routers at once.
-const TWINS: u32 = 4;
+const DUPLICATE_ONE_IN: u32 = 4;
 
 /// How often a caller repeats its call.
-const REPEATS: usize = 3;
+const MAX_RETRIES: usize = 3;
 
 /// A fault of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, EnumIter)]
@@ -51,35 +51,35 @@
 }
 
 /// The calls, with those of one key that go to two routers next to each other.
-pub(crate) fn asks(fleet: &Fleet, keys: usize, seed: u64) -> Vec<Ask> {
+pub(crate) fn calls(fleet: &Fleet, keys: usize, seed: u64) -> Vec<Call> {
     let mut random = StdRng::seed_from_u64(seed);
-    let mut asks = Vec::new();
+    let mut calls = Vec::new();
     for i in 0..keys {
-        let ask = Ask {
+        let call = Call {
             key: Some(format!("booking-{i}")),
             text: format!("confirm booking {i}"),
             hosts: fleet.hosts.iter().map(|h| h.callers).collect(),
-            first: i,
-            repeats: REPEATS,
+            first_host: i,
+            max_retries: MAX_RETRIES,
         };
-        if random.random_ratio(1, TWINS) {
-            asks.push(Ask {
-                first: i + 1,
-                ..ask.clone()
+        if random.random_ratio(1, DUPLICATE_ONE_IN) {
+            calls.push(Call {
+                first_host: i + 1,
+                ..call.clone()
             });
         }
-        asks.push(ask);
+        calls.push(call);
     }
-    asks
+    calls
 }
 
 /// Runs all callers, one after another at a fixed pace.
-pub(crate) async fn call_all(asks: Vec<Ask>) -> Vec<Seen> {
-    let one = |(i, ask): (usize, Ask)| async move {
-        sleep(PACE * u32::try_from(i).unwrap_or(u32::MAX)).await;
-        ask.run().await
+pub(crate) async fn call_all(calls: Vec<Call>) -> Vec<CallResult> {
+    let one = |(i, call): (usize, Call)| async move {
+        sleep(CALL_INTERVAL * u32::try_from(i).unwrap_or(u32::MAX)).await;
+        call.run().await
     };
-    join_all(asks.into_iter().enumerate().map(one)).await
+    join_all(calls.into_iter().enumerate().map(one)).await
 }
 
 /// Brings about faults of processes and of the store at the same time, until all callers have
@@ -87,42 +87,42 @@
 pub(crate) async fn inject(
     fleet: &mut Fleet,
     seed: u64,
-    calling: &JoinHandle<Vec<Seen>>,
+    callers: &JoinHandle<Vec<CallResult>>,
 ) -> Result<Value, BenchError> {
     let platform = fleet.platform_addr;
     let (processes, store) = tokio::join!(
-        process_faults(fleet, seed ^ 1, calling),
-        store_faults(platform, seed ^ 2, calling)
+        process_faults(fleet, seed ^ 1, callers),
+        store_faults(platform, seed ^ 2, callers)
     );
     let all = processes?.into_iter().chain(store?);
     Ok(all.map(|(name, count)| (name, json!(count))).collect())
 }
 
 /// The kinds of faults in a new order each time, and how many of each there were.
-struct Turns<F> {
+struct FaultSchedule<F> {
     random: StdRng,
     kinds: Vec<F>,
-    rest: Vec<F>,
+    remaining: Vec<F>,
     counts: Vec<(String, u64)>,
 }
 
-impl<F: Copy + ToString> Turns<F> {
+impl<F: Copy + ToString> FaultSchedule<F> {
     fn new(kinds: Vec<F>, seed: u64) -> Self {
         Self {
             random: StdRng::seed_from_u64(seed),
             counts: kinds.iter().map(|k| (k.to_string(), 0)).collect(),
             kinds,
-            rest: Vec::new(),
+            remaining: Vec::new(),
         }
     }
 
     /// The next fault and how long it lasts.
     fn next(&mut self) -> Option<(F, Duration)> {
-        if self.rest.is_empty() {
-            self.rest.clone_from(&self.kinds);
-            self.rest.shuffle(&mut self.random);
+        if self.remaining.is_empty() {
+            self.remaining.clone_from(&self.kinds);
+            self.remaining.shuffle(&mut self.random);
         }
-        let fault = self.rest.pop()?;
+        let fault = self.remaining.pop()?;
         let name = fault.to_string();
         if let Some((_, count)) = self.counts.iter_mut().find(|(n, _)| *n == name) {
             *count += 1;
@@ -137,17 +137,17 @@
 async fn process_faults(
     fleet: &mut Fleet,
     seed: u64,
-    calling: &JoinHandle<Vec<Seen>>,
+    callers: &JoinHandle<Vec<CallResult>>,
 ) -> Result<Vec<(String, u64)>, BenchError> {
-    let mut turns = Turns::new(ProcessFault::iter().collect(), seed);
-    while !calling.is_finished() {
-        sleep(CALM).await;
-        let target = turns.random.random_range(0..fleet.hosts.len());
-        if let Some((fault, span)) = turns.next() {
-            process_fault(fleet, fault, target, span).await?;
+    let mut schedule = FaultSchedule::new(ProcessFault::iter().collect(), seed);
+    while !callers.is_finished() {
+        sleep(FAULT_INTERVAL).await;
+        let target = schedule.random.random_range(0..fleet.hosts.len());
+        if let Some((fault, duration)) = schedule.next() {
+            process_fault(fleet, fault, target, duration).await?;
         }
     }
-    Ok(turns.counts)
+    Ok(schedule.counts)
 }
 
 /// Brings about one fault of a process and ends it.
@@ -155,40 +155,42 @@
     fleet: &mut Fleet,
     fault: ProcessFault,
     target: usize,
-    span: Duration,
+    duration: Duration,
 ) -> Result<(), BenchError> {
     match fault {
         ProcessFault::RouterKilled => {
             fleet.hosts[target].router.kill();
             fleet.hosts[target].router.wait().await;
-            sleep(span).await;
+            sleep(duration).await;
             fleet.restart_router(target)?;
         }
         ProcessFault::RouterPaused => {
             fleet.hosts[target].router.freeze();
             // Past the deadline of some calls, within that of others.
-            sleep(span * 2).await;
+            sleep(duration * 2).await;
             fleet.hosts[target].router.thaw();
         }
         ProcessFault::ServerKilled => {
             fleet.plain[target].process.kill();
             fleet.plain[target].process.wait().await;
-            sleep(span).await;
+            sleep(duration).await;
             fleet.restart_plain(target)?;
         }
         ProcessFault::ServerPaused => {
             fleet.plain[target].process.freeze();
-            sleep(span * 2).await;
+            sleep(duration * 2).await;
             fleet.plain[target].process.thaw();
         }
         ProcessFault::ServerDiesAfterRun => {
-            let die = Switch {
+            let exit_after_run = Switch {
                 die_after: Some(1),
                 ..Switch::default()
             };
             // A server that was just restarted may not listen yet.
-            let _ = fleet.switch(fleet.plain[target].addr, &die).await;
-            sleep(span).await;
+            let _ = fleet
+                .switch(fleet.plain[target].addr, &exit_after_run)
+                .await;
+            sleep(duration).await;
             fleet.plain[target].process.kill();
             fleet.plain[target].process.wait().await;
             fleet.restart_plain(target)?;
@@ -200,27 +202,27 @@
 async fn store_faults(
     platform: SocketAddr,
     seed: u64,
-    calling: &JoinHandle<Vec<Seen>>,
+    callers: &JoinHandle<Vec<CallResult>>,
 ) -> Result<Vec<(String, u64)>, BenchError> {
-    let mut turns = Turns::new(StoreFault::iter().collect(), seed);
-    while !calling.is_finished() {
-        sleep(CALM).await;
-        let slow_ms = turns.random.random_range(100..1_300);
-        let lost = turns.random.random_range(1..10);
-        let Some((fault, span)) = turns.next() else {
+    let mut schedule = FaultSchedule::new(StoreFault::iter().collect(), seed);
+    while !callers.is_finished() {
+        sleep(FAULT_INTERVAL).await;
+        let delay_ms = schedule.random.random_range(100..1_300);
+        let lost_answers = schedule.random.random_range(1..10);
+        let Some((fault, duration)) = schedule.next() else {
             break;
         };
         let (begin, end) = match fault {
             StoreFault::StoreDown => (outage(true), outage(false)),
             // Around the time limit of a router's call, so that some writes take effect unseen.
-            StoreFault::StoreSlow => (delay(slow_ms), delay(0)),
-            StoreFault::AnswersLost => (lose(lost), lose(0)),
+            StoreFault::StoreSlow => (delay(delay_ms), delay(0)),
+            StoreFault::AnswersLost => (lose_answers(lost_answers), lose_answers(0)),
         };
         switch(platform, &begin).await?;
-        sleep(span).await;
+        sleep(duration).await;
         switch(platform, &end).await?;
     }
-    Ok(turns.counts)
+    Ok(schedule.counts)
 }
 
 async fn switch(platform: SocketAddr, fault: &Switch) -> Result<(), BenchError> {
@@ -242,7 +244,7 @@
     }
 }
 
-fn lose(count: u64) -> Switch {
+fn lose_answers(count: u64) -> Switch {
     Switch {
         lose_answers: Some(count),
         ..Switch::default()
--- a/crates/gooseberry-bench/src/calls/load.rs
+++ b/crates/gooseberry-bench/src/calls/load.rs
@@ -11,18 +11,18 @@
 use tokio::net::UdpSocket;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use super::caller::{Ask, End, Seen};
+use super::caller::{Call, CallResult, Outcome};
 use crate::harness::BenchError;
 use crate::harness::fleet::{CALL, Fleet};
 
 /// What the name of the metric with the time of a claim ends with.
-const CLAIM: &str = "claims.claim:";
+const CLAIM_METRIC: &str = "claims.claim:";
 
 /// The largest time that is told apart, in milliseconds.
 const MAX_MS: u64 = 60_000;
 
 /// The significant digits that are kept.
-const DIGITS: u8 = 3;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// The time for the last outcomes to be stored.
 const SETTLE: Duration = Duration::from_millis(500);
@@ -44,13 +44,16 @@
         let socket = UdpSocket::bind("127.0.0.1:0").await.map_err(failed)?;
         let addr = socket.local_addr().map_err(failed)?;
         let claims: Arc<Mutex<Vec<u64>>> = Arc::default();
-        let kept = claims.clone();
+        let received = claims.clone();
         tokio::spawn(async move {
             let mut packet = vec![0; 64 * 1024];
             while let Ok(count) = socket.recv(&mut packet).await {
                 let text = String::from_utf8_lossy(&packet[..count]).into_owned();
                 let times = text.lines().filter_map(claim_time);
-                kept.lock().unwrap_or_else(|e| e.into_inner()).extend(times);
+                received
+                    .lock()
+                    .unwrap_or_else(|e| e.into_inner())
+                    .extend(times);
             }
         });
         Ok(Self { addr, claims })
@@ -64,7 +67,7 @@
 
 /// The time in a line such as `gooseberry.router.claims.claim:12|ms|#host:entry-0`.
 fn claim_time(line: &str) -> Option<u64> {
-    let (_, value) = line.split_once(CLAIM)?;
+    let (_, value) = line.split_once(CLAIM_METRIC)?;
     value.split('|').next()?.parse().ok()
 }
 
@@ -79,35 +82,38 @@
     let before = stats(fleet).await?;
     metrics.take();
     let start = Instant::now();
-    let ask = |i: u64| {
-        let ask = Ask {
+    let call = |i: u64| {
+        let call = Call {
             key: Some(format!("{name}-{i}")),
             text: format!("{name} {i}"),
             hosts: fleet.hosts.iter().map(|h| h.callers).collect(),
-            first: usize::try_from(i).unwrap_or(0),
-            repeats: 0,
+            first_host: usize::try_from(i).unwrap_or(0),
+            max_retries: 0,
         };
         let at = start + Duration::from_micros(1_000_000 * i / rate.max(1));
         async move {
             sleep_until(at).await;
-            ask.run().await
+            call.run().await
         }
     };
     let calls = rate * seconds;
-    let seen: Vec<Seen> = join_all((0..calls).map(ask)).await;
-    let took = start.elapsed();
+    let results: Vec<CallResult> = join_all((0..calls).map(call)).await;
+    let elapsed = start.elapsed();
     sleep(SETTLE).await;
     let after = stats(fleet).await?;
-    let answered = seen.iter().filter(|s| s.end() == End::Answered).count();
+    let answered = results
+        .iter()
+        .filter(|result| result.outcome() == Outcome::Answered)
+        .count();
     let writes = after.writes - before.writes;
     Ok(json!({
         "calls": calls,
-        "calls_per_s": calls as f64 / took.as_secs_f64(),
+        "calls_per_s": calls as f64 / elapsed.as_secs_f64(),
         "answered": answered as f64 / calls.max(1) as f64,
         "writes": writes,
         "writes_refused": after.throttled - before.throttled,
         "writes_per_call": writes as f64 / calls.max(1) as f64,
-        "claim_ms": summary(&metrics.take()),
+        "claim_ms": quantiles(&metrics.take()),
     }))
 }
 
@@ -116,8 +122,8 @@
 }
 
 /// The quantiles of times in milliseconds.
-fn summary(times: &[u64]) -> Value {
-    let Ok(mut histogram) = Histogram::<u64>::new_with_max(MAX_MS, DIGITS) else {
+fn quantiles(times: &[u64]) -> Value {
+    let Ok(mut histogram) = Histogram::<u64>::new_with_max(MAX_MS, SIGNIFICANT_DIGITS) else {
         return Value::Null;
     };
     for time in times {
--- a/crates/gooseberry-bench/src/config.rs
+++ b/crates/gooseberry-bench/src/config.rs
@@ -24,13 +24,13 @@
 use usage::Usage;
 
 /// The time between two changes at the steady rate.
-const STEADY: Duration = Duration::from_secs(1);
+const STEADY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The changes of a burst.
-const BURST: usize = 20;
+const BURST_CHANGES: usize = 20;
 
 /// The longest that a frozen agent stays so.
-const FREEZE: Duration = Duration::from_secs(4);
+const FREEZE_DURATION: Duration = Duration::from_secs(4);
 
 /// The time for the last change to arrive everywhere, and for a part without changes.
 const SETTLE: Duration = Duration::from_secs(5);
@@ -45,8 +45,8 @@
 #[derive(Clone, Debug, Bpaf)]
 pub(crate) struct Options {
     /// How many agents there are.
-    #[bpaf(long, argument("N"), fallback(34))]
-    nodes: usize,
+    #[bpaf(long("nodes"), argument("N"), fallback(34))]
+    agents: usize,
     /// Over how many data centres they are spread.
     #[bpaf(long, argument("N"), fallback(1))]
     centres: usize,
@@ -74,7 +74,7 @@
     let mut is_within = true;
     for way in ways {
         if !options.json {
-            println!("{way}: {} agents", options.nodes);
+            println!("{way}: {} agents", options.agents);
         }
         let report = run_way(&programs, &options, way).await?;
         if way == options.way.unwrap_or_default() {
@@ -86,7 +86,7 @@
         "experiment": "config",
         "commit": commit(),
         "seed": options.seed,
-        "nodes": options.nodes,
+        "nodes": options.agents,
         "centres": options.centres,
         "workspaces": WORKSPACES,
         "default": Topology::default(),
@@ -102,7 +102,7 @@
     way: Topology,
 ) -> Result<Value, BenchError> {
     let mut random = StdRng::seed_from_u64(options.seed);
-    let mut agents = Agents::start(programs, options.nodes, options.centres, way).await?;
+    let mut agents = Agents::start(programs, options.agents, options.centres, way).await?;
     let mut operators = Operators::default();
 
     let before = Usage::read(&agents).await;
@@ -111,40 +111,40 @@
 
     let before = Usage::read(&agents).await;
     operators
-        .steady(&agents, &mut random, options.changes, STEADY)
+        .steady(&agents, &mut random, options.changes, STEADY_INTERVAL)
         .await;
     let steady = Usage::read(&agents).await.since(&before);
 
     for _ in 0..2 {
         operators
-            .steady(&agents, &mut random, BURST, Duration::ZERO)
+            .steady(&agents, &mut random, BURST_CHANGES, Duration::ZERO)
             .await;
         operators.race(&agents, &mut random).await;
     }
     let killed = agents.kill_some(&mut random);
     let frozen = agents.freeze_watcher();
     operators
-        .steady(&agents, &mut random, options.changes, STEADY)
+        .steady(&agents, &mut random, options.changes, STEADY_INTERVAL)
         .await;
-    agents.thaw(frozen, FREEZE).await;
+    agents.thaw(frozen, FREEZE_DURATION).await;
     for i in killed {
         agents.restart(i).await?;
     }
     agents.cut(true);
     operators
-        .steady(&agents, &mut random, options.changes, STEADY)
+        .steady(&agents, &mut random, options.changes, STEADY_INTERVAL)
         .await;
     agents.cut(false);
     operators
-        .steady(&agents, &mut random, options.changes / 2, STEADY)
+        .steady(&agents, &mut random, options.changes / 2, STEADY_INTERVAL)
         .await;
     sleep(SETTLE).await;
 
-    let judged = judge::judge(&agents, &operators).await?;
-    let is_within = judged.lost == 0
-        && judged.reverted == 0
-        && judged.behind == 0
-        && judged.in_force_ms.max <= MAX_IN_FORCE_MS
+    let verdict = judge::judge(&agents, &operators).await?;
+    let is_within = verdict.lost == 0
+        && verdict.reverted == 0
+        && verdict.behind == 0
+        && verdict.in_force_ms.max <= MAX_IN_FORCE_MS
         && steady.bytes_s.max <= MAX_BYTES_S
         && steady.cpu_share.max <= MAX_CPU_SHARE
         && steady.memory_mb.max <= MAX_MEMORY_MB;
@@ -154,10 +154,10 @@
         "conflicts": operators.conflicts,
         "unavailable": operators.unavailable,
         "failed": operators.failed,
-        "lost": judged.lost,
-        "reverted": judged.reverted,
-        "behind": judged.behind,
-        "in_force_ms": judged.in_force_ms,
+        "lost": verdict.lost,
+        "reverted": verdict.reverted,
+        "behind": verdict.behind,
+        "in_force_ms": verdict.in_force_ms,
         "control": steady,
         "control_idle": idle,
         "within_bounds": is_within,
--- a/crates/gooseberry-bench/src/config/agents.rs
+++ b/crates/gooseberry-bench/src/config/agents.rs
@@ -26,22 +26,22 @@
 use crate::harness::fleet::CALL;
 
 /// The operators' key.
-pub(crate) const KEY: &str = "operator-key";
+pub(crate) const OPERATOR_KEY: &str = "operator-key";
 
 /// The workspaces of the configuration, as many as the users expect.
 pub(crate) const WORKSPACES: usize = 490;
 
 /// The longest wait for all agents to be ready.
-const READY: Duration = Duration::from_secs(20);
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// One agent that is killed in so many.
-const KILLED: usize = 10;
+const KILL_ONE_IN: usize = 10;
 
 /// One agent that is cut from the platform in so many, where there is one data centre.
-const CUT: usize = 4;
+const CUT_ONE_IN: usize = 4;
 
 /// The time between looks.
-const LOOK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// An agent.
 pub(crate) struct Agent {
@@ -49,7 +49,7 @@
     pub(crate) admin: SocketAddr,
     pub(crate) process: Child,
     /// When it was not reachable, in milliseconds of Unix time.
-    pub(crate) away: Vec<(u64, u64)>,
+    pub(crate) unreachable: Vec<(u64, u64)>,
     pub(crate) is_up: bool,
     file: PathBuf,
 }
@@ -75,7 +75,7 @@
     /// Starts the platform, with a configuration of many workspaces, and all agents.
     pub(crate) async fn start(
         programs: &Path,
-        nodes: usize,
+        count: usize,
         centres: usize,
         way: Topology,
     ) -> Result<Self, BenchError> {
@@ -89,7 +89,7 @@
         let addr = address(way, 250, 7020);
         let standin = standin::Settings {
             listen: addr,
-            hosts: (0..nodes).map(|i| host(i, centres, way)).collect(),
+            hosts: (0..count).map(|i| host(i, centres, way)).collect(),
             ..standin::Settings::default()
         };
         let file = folder.join("platform.json");
@@ -104,23 +104,23 @@
             _store: store,
         };
         agents.put_document().await?;
-        for i in 0..nodes {
+        for i in 0..count {
             let is_cut = if centres > 1 {
                 i % centres == 0
             } else {
-                i % CUT == 0
+                i % CUT_ONE_IN == 0
             };
             let settings = settings(i, centres, way, is_cut);
             agents.start_one(&settings)?;
         }
-        agents.until_ready().await?;
+        agents.wait_ready().await?;
         Ok(agents)
     }
 
     /// Kills some agents, one of them a watcher; returns which.
     pub(crate) fn kill_some(&mut self, random: &mut StdRng) -> Vec<usize> {
         let mut killed = vec![self.watchers()[0]];
-        for _ in 1..self.all.len() / KILLED {
+        for _ in 1..self.all.len() / KILL_ONE_IN {
             killed.push(random.random_range(0..self.all.len()));
         }
         killed.sort_unstable();
@@ -129,7 +129,7 @@
             let agent = &mut self.all[*i];
             agent.process.kill();
             agent.is_up = false;
-            agent.away.push((now_ms(), u64::MAX));
+            agent.unreachable.push((now_ms(), u64::MAX));
         }
         killed
     }
@@ -140,7 +140,7 @@
         let agent = &mut self.all[i];
         agent.process.freeze();
         agent.is_up = false;
-        agent.away.push((now_ms(), u64::MAX));
+        agent.unreachable.push((now_ms(), u64::MAX));
         Some(i)
     }
 
@@ -148,14 +148,14 @@
     pub(crate) async fn thaw(&mut self, frozen: Option<usize>, after: Duration) {
         let Some(i) = frozen else { return };
         let agent = &mut self.all[i];
-        let since = agent.away.last().map_or(0, |a| a.0);
+        let since = agent.unreachable.last().map_or(0, |a| a.0);
         let limit = u64::try_from(after.as_millis()).unwrap_or(0);
         while now_ms() < since + limit {
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
         agent.process.thaw();
         agent.is_up = true;
-        if let Some(last) = agent.away.last_mut() {
+        if let Some(last) = agent.unreachable.last_mut() {
             last.1 = now_ms();
         }
     }
@@ -165,9 +165,9 @@
         let agent = &mut self.all[i];
         agent.process = Child::start(&self.programs, "gooseberry-agent", &[], &agent.file)?;
         agent.is_up = true;
-        self.until_ready().await?;
+        self.wait_ready().await?;
         // What it adopted in its former life is gone with it.
-        self.all[i].away = vec![(0, now_ms())];
+        self.all[i].unreachable = vec![(0, now_ms())];
         Ok(())
     }
 
@@ -190,15 +190,15 @@
             name: settings.host.0.clone(),
             admin: settings.listen.admin,
             process: Child::start(&self.programs, "gooseberry-agent", &[], &file)?,
-            away: Vec::new(),
+            unreachable: Vec::new(),
             is_up: true,
             file,
         });
         Ok(())
     }
 
-    async fn until_ready(&self) -> Result<(), BenchError> {
-        let deadline = Instant::now() + READY;
+    async fn wait_ready(&self) -> Result<(), BenchError> {
+        let deadline = Instant::now() + READY_TIMEOUT;
         for agent in self.all.iter().filter(|a| a.is_up) {
             while web::client::get::<Value>(agent.admin, "/v1/ready", CALL)
                 .await
@@ -207,7 +207,7 @@
                 if Instant::now() > deadline {
                     return Err(BenchError::NotReady(agent.name.clone()));
                 }
-                sleep(LOOK).await;
+                sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
@@ -223,12 +223,12 @@
             changes: diff(&Document::default(), &document),
         };
         let body = commit_ops(&HeadRow::default(), &first);
-        let deadline = Instant::now() + READY;
+        let deadline = Instant::now() + READY_TIMEOUT;
         while let Err(e) = self.platform.transact(&body).await {
             if Instant::now() > deadline {
                 return Err(e.into());
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
@@ -255,7 +255,7 @@
         "listen": { "peers": address(way, i, 7004), "admin": address(way, i, 7005) },
         "platform": address(way, if is_cut { 251 } else { 250 }, 7020),
         "spread": way,
-        "operator_digest": key_digest(KEY),
+        "operator_digest": key_digest(OPERATOR_KEY),
     });
     serde_json::from_value(value)
         .unwrap_or_else(|_| unreachable!("the settings' other fields have defaults"))
--- a/crates/gooseberry-bench/src/config/changes.rs
+++ b/crates/gooseberry-bench/src/config/changes.rs
@@ -11,14 +11,14 @@
 use rand::rngs::StdRng;
 use tokio::time::{Instant, sleep_until};
 
-use super::agents::{Agents, KEY, WORKSPACES, change};
+use super::agents::{Agents, OPERATOR_KEY, WORKSPACES, change};
 
 /// The longest wait for the answer to a proposal.
-const LIMIT: Duration = Duration::from_secs(8);
+const APPLY_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// An accepted change.
 #[derive(Clone, Debug)]
-pub(crate) struct Accepted {
+pub(crate) struct ProposedChange {
     pub(crate) version: Version,
     pub(crate) operation: OperationId,
     pub(crate) workspace: usize,
@@ -30,7 +30,7 @@
 /// What the operators did.
 #[derive(Debug, Default)]
 pub(crate) struct Operators {
-    pub(crate) accepted: Vec<Accepted>,
+    pub(crate) accepted: Vec<ProposedChange>,
     pub(crate) conflicts: u64,
     /// Proposals to agents that could not reach the platform; nothing was sent for these.
     pub(crate) unavailable: u64,
@@ -41,8 +41,8 @@
 }
 
 /// How one proposal ended.
-struct Answer {
-    tried: Accepted,
+struct ProposalResult {
+    proposed: ProposedChange,
     outcome: Option<Outcome>,
 }
 
@@ -58,25 +58,25 @@
         let start = Instant::now();
         for i in 0..u32::try_from(count).unwrap_or(0) {
             sleep_until(start + period * i).await;
-            let tried = self.draw(random);
-            let answer = send(pick(agents, random), tried).await;
-            self.note(answer);
+            let proposed = self.draw_change(random);
+            let result = send(pick_agent(agents, random), proposed).await;
+            self.record(result);
         }
         sleep_until(start + period * u32::try_from(count).unwrap_or(0)).await;
     }
 
     /// Two operators propose at once, through two agents.
     pub(crate) async fn race(&mut self, agents: &Agents, random: &mut StdRng) {
-        let (one, two) = (self.draw(random), self.draw(random));
-        let (first, second) = (pick(agents, random), pick(agents, random));
+        let (one, two) = (self.draw_change(random), self.draw_change(random));
+        let (first, second) = (pick_agent(agents, random), pick_agent(agents, random));
         let (one, two) = tokio::join!(send(first, one), send(second, two));
-        self.note(one);
-        self.note(two);
+        self.record(one);
+        self.record(two);
     }
 
-    fn draw(&mut self, random: &mut StdRng) -> Accepted {
+    fn draw_change(&mut self, random: &mut StdRng) -> ProposedChange {
         self.count += 1;
-        Accepted {
+        ProposedChange {
             version: Version(self.head.max(1)),
             operation: OperationId(format!("change-{}", self.count)),
             workspace: random.random_range(0..WORKSPACES),
@@ -86,13 +86,13 @@
         }
     }
 
-    fn note(&mut self, answer: Answer) {
-        match answer.outcome {
+    fn record(&mut self, result: ProposalResult) {
+        match result.outcome {
             Some(Outcome::Accepted { version }) => {
                 self.head = self.head.max(version.0);
-                self.accepted.push(Accepted {
+                self.accepted.push(ProposedChange {
                     version,
-                    ..answer.tried
+                    ..result.proposed
                 });
             }
             Some(Outcome::Refused {
@@ -108,19 +108,19 @@
 }
 
 /// Sends a proposal based on the version that `tried` names.
-async fn send(addr: SocketAddr, tried: Accepted) -> Answer {
+async fn send(addr: SocketAddr, proposed: ProposedChange) -> ProposalResult {
     let proposal = Proposal {
-        base: tried.version,
-        operation: tried.operation.clone(),
-        changes: vec![change(tried.workspace, tried.share)],
+        base: proposed.version,
+        operation: proposed.operation.clone(),
+        changes: vec![change(proposed.workspace, proposed.share)],
     };
     let path = "/v1/config/apply";
     let mut request = web::client::json_request(addr, Method::POST, path, &proposal);
-    if let Ok(value) = format!("Bearer {KEY}").parse() {
+    if let Ok(value) = format!("Bearer {OPERATOR_KEY}").parse() {
         request.headers_mut().insert("authorization", value);
     }
-    Answer {
-        tried,
+    ProposalResult {
+        proposed,
         outcome: outcome(addr, request).await,
     }
 }
@@ -129,7 +129,7 @@
     addr: SocketAddr,
     request: hyper::Request<http_body_util::Full<bytes::Bytes>>,
 ) -> Option<Outcome> {
-    let response = web::client::send(addr, request, LIMIT).await.ok()?;
+    let response = web::client::send(addr, request, APPLY_TIMEOUT).await.ok()?;
     match web::client::read_whole(addr, response).await {
         Ok(bytes) => serde_json::from_slice(&bytes).ok(),
         Err(web::client::CallError::Status { body, .. }) => serde_json::from_str(&body).ok(),
@@ -138,7 +138,7 @@
 }
 
 /// An agent that is up.
-fn pick(agents: &Agents, random: &mut StdRng) -> SocketAddr {
+fn pick_agent(agents: &Agents, random: &mut StdRng) -> SocketAddr {
     let up: Vec<SocketAddr> = agents
         .all
         .iter()
--- a/crates/gooseberry-bench/src/config/judge.rs
+++ b/crates/gooseberry-bench/src/config/judge.rs
@@ -8,17 +8,17 @@
 use serde_json::Value;
 
 use super::agents::{Agent, Agents, WORKSPACES};
-use super::changes::{Accepted, Operators};
+use super::changes::{Operators, ProposedChange};
 use crate::harness::BenchError;
 use crate::harness::fleet::CALL;
 use crate::harness::report::{Times, times};
 
 /// An agent that goes away this long after a change was sent should have had it.
-const EXCUSED_MS: u64 = 4_000;
+const PROPAGATION_LIMIT_MS: u64 = 4_000;
 
 /// The verdict on a run.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Judged {
+pub(crate) struct Verdict {
     /// Accepted changes that the platform does not hold under their version.
     pub(crate) lost: u64,
     /// Agents that fell to a lower version, or whose document lacks an accepted change.
@@ -42,47 +42,47 @@
 }
 
 /// Judges a run at its end.
-pub(crate) async fn judge(agents: &Agents, operators: &Operators) -> Result<Judged, BenchError> {
-    let mut judged = Judged::default();
+pub(crate) async fn judge(agents: &Agents, operators: &Operators) -> Result<Verdict, BenchError> {
+    let mut verdict = Verdict::default();
     for accepted in &operators.accepted {
-        let kept = agents.platform.revision(accepted.version).await?;
-        if kept.is_none_or(|r| r.operation != accepted.operation) {
-            judged.lost += 1;
+        let stored = agents.platform.revision(accepted.version).await?;
+        if stored.is_none_or(|r| r.operation != accepted.operation) {
+            verdict.lost += 1;
         }
     }
-    let mut spans = Vec::new();
+    let mut delays = Vec::new();
     for agent in &agents.all {
         let state: Value = web::client::get(agent.admin, "/v1/state", CALL).await?;
         let Ok(state) = serde_json::from_value::<State>(state) else {
-            judged.reverted += 1;
+            verdict.reverted += 1;
             continue;
         };
-        if !holds_all(&state, &operators.accepted) {
-            judged.reverted += 1;
+        if !is_consistent(&state, &operators.accepted) {
+            verdict.reverted += 1;
         }
         for accepted in &operators.accepted {
-            match in_force(agent, &state, accepted) {
-                Seen::After(span) => spans.push(span),
-                Seen::Never => judged.behind += 1,
-                Seen::Excused => {}
+            match propagation(agent, &state, accepted) {
+                Propagation::InForce(delay) => delays.push(delay),
+                Propagation::Missing => verdict.behind += 1,
+                Propagation::Unreachable => {}
             }
         }
     }
-    judged.in_force_ms = times(spans);
-    Ok(judged)
+    verdict.in_force_ms = times(delays);
+    Ok(verdict)
 }
 
 /// Whether versions only rose and the last document holds what was accepted last.
-fn holds_all(state: &State, accepted: &[Accepted]) -> bool {
-    let rises = state.adoptions.windows(2).all(|w| w[0].0 < w[1].0);
+fn is_consistent(state: &State, accepted: &[ProposedChange]) -> bool {
+    let is_rising = state.adoptions.windows(2).all(|w| w[0].0 < w[1].0);
     let Some(document) = &state.view.document else {
         return false;
     };
-    let mut wanted = vec![1; WORKSPACES];
-    let mut in_order: Vec<&Accepted> = accepted.iter().collect();
+    let mut expected = vec![1; WORKSPACES];
+    let mut in_order: Vec<&ProposedChange> = accepted.iter().collect();
     in_order.sort_by_key(|a| a.version);
     for one in in_order {
-        wanted[one.workspace] = one.share;
+        expected[one.workspace] = one.share;
     }
     let has = |(i, share): (usize, &u32)| {
         let name = WorkspaceName(format!("workspace-{i}"));
@@ -90,27 +90,28 @@
             .workspace_named(&name)
             .is_some_and(|w| w.share == *share)
     };
-    rises && wanted.iter().enumerate().all(has)
+    is_rising && expected.iter().enumerate().all(has)
 }
 
 /// When an agent had a change.
-enum Seen {
-    After(Duration),
-    Never,
+enum Propagation {
+    InForce(Duration),
+    Missing,
     /// It was not reachable.
-    Excused,
+    Unreachable,
 }
 
-fn in_force(agent: &Agent, state: &State, accepted: &Accepted) -> Seen {
+fn propagation(agent: &Agent, state: &State, accepted: &ProposedChange) -> Propagation {
     let adopted = state.adoptions.iter().find(|(v, _)| *v >= accepted.version);
     let end = adopted.map_or(u64::MAX, |(_, at)| *at);
     let sent = accepted.sent_ms;
-    let is_away = |(from, to): &(u64, u64)| *from < end.min(sent + EXCUSED_MS) && *to > sent;
-    if agent.away.iter().any(is_away) {
-        return Seen::Excused;
+    let was_unreachable =
+        |(from, to): &(u64, u64)| *from < end.min(sent + PROPAGATION_LIMIT_MS) && *to > sent;
+    if agent.unreachable.iter().any(was_unreachable) {
+        return Propagation::Unreachable;
     }
     match adopted {
-        Some((_, at)) => Seen::After(Duration::from_millis(at.saturating_sub(sent))),
-        None => Seen::Never,
+        Some((_, at)) => Propagation::InForce(Duration::from_millis(at.saturating_sub(sent))),
+        None => Propagation::Missing,
     }
 }
--- a/crates/gooseberry-bench/src/config/relay.rs
+++ b/crates/gooseberry-bench/src/config/relay.rs
@@ -10,7 +10,7 @@
 use tokio::time::sleep;
 
 /// The time between looks at whether the relay is cut.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A relay; it ends with its value.
 #[derive(Debug)]
@@ -27,12 +27,12 @@
 
 impl Relay {
     /// Starts a relay that listens at `from`; without that address nobody is relayed.
-    pub(crate) async fn start(from: SocketAddr, to: SocketAddr) -> Self {
+    pub(crate) async fn start(listen: SocketAddr, target: SocketAddr) -> Self {
         let is_cut = Arc::new(AtomicBool::new(false));
         let cut = is_cut.clone();
         let task = tokio::spawn(async move {
-            if let Ok(listener) = TcpListener::bind(from).await {
-                run(listener, to, cut).await;
+            if let Ok(listener) = TcpListener::bind(listen).await {
+                run(listener, target, cut).await;
             }
         });
         Self { is_cut, task }
@@ -44,25 +44,25 @@
     }
 }
 
-async fn run(listener: TcpListener, to: SocketAddr, cut: Arc<AtomicBool>) {
-    let mut copies = JoinSet::new();
+async fn run(listener: TcpListener, target: SocketAddr, cut: Arc<AtomicBool>) {
+    let mut connections = JoinSet::new();
     loop {
         tokio::select! {
             accepted = listener.accept() => {
-                let Ok((mut near, _)) = accepted else { continue };
+                let Ok((mut client, _)) = accepted else { continue };
                 if cut.load(Ordering::Relaxed) {
                     continue;
                 }
-                copies.spawn(async move {
-                    let mut far = TcpStream::connect(to).await?;
-                    tokio::io::copy_bidirectional(&mut near, &mut far).await
+                connections.spawn(async move {
+                    let mut server = TcpStream::connect(target).await?;
+                    tokio::io::copy_bidirectional(&mut client, &mut server).await
                 });
             }
-            () = sleep(LOOK) => {
+            () = sleep(POLL_INTERVAL) => {
                 if cut.load(Ordering::Relaxed) {
-                    copies.abort_all();
+                    connections.abort_all();
                 }
-                while copies.try_join_next().is_some() {}
+                while connections.try_join_next().is_some() {}
             }
         }
     }
--- a/crates/gooseberry-bench/src/config/usage.rs
+++ b/crates/gooseberry-bench/src/config/usage.rs
@@ -17,14 +17,14 @@
 /// What was spent up to some time.
 pub(crate) struct Usage {
     at: Instant,
-    nodes: Vec<Node>,
+    by_agent: Vec<AgentUsage>,
     reads: f64,
     writes: f64,
 }
 
 /// What one agent has spent.
 #[derive(Clone, Copy, Default)]
-struct Node {
+struct AgentUsage {
     bytes: f64,
     cpu: Duration,
     /// In bytes.
@@ -33,20 +33,20 @@
 
 /// Over all agents.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub(crate) struct Spread {
+pub(crate) struct MeanMax {
     pub(crate) mean: f64,
     pub(crate) max: f64,
 }
 
 /// What was spent in a span of time, a node.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub(crate) struct Spent {
+pub(crate) struct UsageRate {
     /// Bytes sent and received a second.
-    pub(crate) bytes_s: Spread,
+    pub(crate) bytes_s: MeanMax,
     /// The share of one core.
-    pub(crate) cpu_share: Spread,
+    pub(crate) cpu_share: MeanMax,
     /// Resident memory in megabytes.
-    pub(crate) memory_mb: Spread,
+    pub(crate) memory_mb: MeanMax,
     /// Reads of the platform a second, by all agents.
     pub(crate) reads_s: f64,
     /// Writes to the platform a second, by all agents.
@@ -58,14 +58,14 @@
     pub(crate) async fn read(agents: &Agents) -> Self {
         let at = Instant::now();
         let stats = stats(&agents.platform).await;
-        let mut nodes = Vec::new();
+        let mut by_agent = Vec::new();
         for agent in &agents.all {
             let state = web::client::get(agent.admin, "/v1/state", CALL).await;
             let state: Value = state.unwrap_or_default();
             let traffic = &state["traffic"];
             let bytes = number(&traffic["sent"]) + number(&traffic["received"]);
             let id = agent.process.id();
-            nodes.push(Node {
+            by_agent.push(AgentUsage {
                 bytes,
                 cpu: usage::cpu(id),
                 memory: usage::memory(id),
@@ -73,22 +73,22 @@
         }
         Self {
             at,
-            nodes,
+            by_agent,
             reads: number(&stats["reads"]),
             writes: number(&stats["writes"]),
         }
     }
 
     /// What was spent since `before`.
-    pub(crate) fn since(&self, before: &Self) -> Spent {
+    pub(crate) fn since(&self, before: &Self) -> UsageRate {
         let span = (self.at - before.at).as_secs_f64();
-        let pairs = || self.nodes.iter().zip(&before.nodes);
-        Spent {
-            bytes_s: spread(pairs().map(|(a, b)| (a.bytes - b.bytes) / span)),
-            cpu_share: spread(
+        let pairs = || self.by_agent.iter().zip(&before.by_agent);
+        UsageRate {
+            bytes_s: mean_max(pairs().map(|(a, b)| (a.bytes - b.bytes) / span)),
+            cpu_share: mean_max(
                 pairs().map(|(a, b)| a.cpu.saturating_sub(b.cpu).as_secs_f64() / span),
             ),
-            memory_mb: spread(self.nodes.iter().map(|n| n.memory as f64 / MIB)),
+            memory_mb: mean_max(self.by_agent.iter().map(|n| n.memory as f64 / MIB)),
             reads_s: (self.reads - before.reads) / span,
             writes_s: (self.writes - before.writes) / span,
         }
@@ -104,10 +104,10 @@
     value.as_f64().unwrap_or(0.0)
 }
 
-fn spread(values: impl Iterator<Item = f64>) -> Spread {
+fn mean_max(values: impl Iterator<Item = f64>) -> MeanMax {
     let all: Vec<f64> = values.collect();
     let count = all.len().max(1) as f64;
-    Spread {
+    MeanMax {
         mean: all.iter().sum::<f64>() / count,
         max: all.iter().copied().fold(0.0, f64::max),
     }
--- a/crates/gooseberry-bench/src/demo.rs
+++ b/crates/gooseberry-bench/src/demo.rs
@@ -26,13 +26,13 @@
 const ENGINES: usize = 3;
 
 /// The time from the first request to the kill.
-const BEFORE_KILL: Duration = Duration::from_millis(700);
+const KILL_DELAY: Duration = Duration::from_millis(700);
 
 /// A silence of this length around the kill shows that a stream was hit by it.
-const HIT: Duration = Duration::from_millis(25);
+const MIN_GAP: Duration = Duration::from_millis(25);
 
 /// The longest that one answer may take.
-const LIMIT: Duration = Duration::from_secs(30);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// How the demo runs.
 #[derive(Clone, Debug, Bpaf)]
@@ -49,47 +49,47 @@
 
 /// Runs the demo; returns whether every answer was whole.
 pub(crate) async fn run(options: Options) -> Result<bool, BenchError> {
-    let say = |text: &str| {
+    let progress = |text: &str| {
         if !options.json {
             println!("{text}");
         }
     };
-    say("building the programs");
+    progress("building the programs");
     let programs = build::programs().await?;
-    say("starting a platform, 2 entry hosts and 3 engines");
+    progress("starting a platform, 2 entry hosts and 3 engines");
     let mut fleet = Fleet::start(&programs, &plan(HOSTS, ENGINES)).await?;
-    say(&format!(
+    progress(&format!(
         "opening {} streams through both hosts",
         options.streams
     ));
-    let asks = asks(&fleet, &options);
-    let running = tokio::spawn(run_all(asks.clone()));
-    sleep(BEFORE_KILL).await;
-    say("killing engine-0");
+    let requests = requests(&fleet, &options);
+    let running = tokio::spawn(run_all(requests.clone()));
+    sleep(KILL_DELAY).await;
+    progress("killing engine-0");
     let killed = Instant::now();
     fleet.engines[0].process.kill();
-    sleep(BEFORE_KILL).await;
+    sleep(KILL_DELAY).await;
     let resumed = resumed_streams(&fleet.state(0).await?);
-    say(&format!(
+    progress(&format!(
         "host 0 shows {resumed} streams on their second attempt"
     ));
     let seen = running.await.unwrap_or_default();
-    let report = report(&asks, &seen, killed, resumed);
-    let is_whole = report["exact"] == report["requests"];
+    let report = report(&requests, &seen, killed, resumed);
+    let is_exact = report["exact"] == report["requests"];
     if options.json {
         println!("{report:#}");
     } else {
         println!("{report:#}");
         println!(
             "{}",
-            if is_whole {
+            if is_exact {
                 "every answer is whole"
             } else {
                 "FAILED"
             }
         );
     }
-    Ok(is_whole)
+    Ok(is_exact)
 }
 
 /// Entry hosts and engines in one data centre.
@@ -132,7 +132,7 @@
     }
 }
 
-fn asks(fleet: &Fleet, options: &Options) -> Vec<Ask> {
+fn requests(fleet: &Fleet, options: &Options) -> Vec<Ask> {
     let hosts: Vec<_> = fleet.hosts.iter().map(|h| h.callers).collect();
     let one = |i: usize| Ask {
         key: format!("demo-{i}"),
@@ -142,13 +142,13 @@
         max_tokens: options.tokens,
         hosts: hosts.clone(),
         first: i,
-        limit: LIMIT,
+        limit: ANSWER_TIMEOUT,
     };
     (0..options.streams).map(one).collect()
 }
 
-async fn run_all(asks: Vec<Ask>) -> Vec<Seen> {
-    join_all(asks.iter().map(Ask::run)).await
+async fn run_all(requests: Vec<Ask>) -> Vec<Seen> {
+    join_all(requests.iter().map(Ask::run)).await
 }
 
 /// How many requests of a state dump have more than one attempt.
@@ -161,15 +161,15 @@
     requests.map_or(0, |all| all.iter().filter(is_resumed).count())
 }
 
-fn report(asks: &[Ask], seen: &[Seen], killed: Instant, resumed: usize) -> Value {
-    let verdicts: Vec<Verdict> = asks.iter().zip(seen).map(|(a, s)| a.judge(s)).collect();
+fn report(requests: &[Ask], seen: &[Seen], killed: Instant, resumed: usize) -> Value {
+    let verdicts: Vec<Verdict> = requests.iter().zip(seen).map(|(a, s)| a.judge(s)).collect();
     let count = |v: Verdict| verdicts.iter().filter(|x| **x == v).count();
     let first = seen
         .iter()
         .filter_map(|s| Some(s.arrivals.first()?.0 - s.started));
-    let resume: Times = times(seen.iter().filter_map(|s| resume(s, killed)));
+    let resume: Times = times(seen.iter().filter_map(|s| resume_time(s, killed)));
     json!({
-        "requests": asks.len(),
+        "requests": requests.len(),
         "exact": count(Verdict::Exact),
         "missing": count(Verdict::Missing),
         "repeated": count(Verdict::Repeated),
@@ -183,9 +183,9 @@
 }
 
 /// The time from the kill to the next token, if the stream was hit by it.
-fn resume(seen: &Seen, killed: Instant) -> Option<Duration> {
+fn resume_time(seen: &Seen, killed: Instant) -> Option<Duration> {
     let i = seen.arrivals.iter().position(|(at, _)| *at > killed)?;
     let after = seen.arrivals[i].0;
     let before = seen.arrivals.get(i.checked_sub(1)?)?.0;
-    (after - before > HIT).then_some(after - killed)
+    (after - before > MIN_GAP).then_some(after - killed)
 }
--- a/crates/gooseberry-bench/src/drain.rs
+++ b/crates/gooseberry-bench/src/drain.rs
@@ -21,19 +21,19 @@
 use callers::Callers;
 
 /// How often the state of processes is looked at.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The time before the first host leaves.
-const WARM: Duration = Duration::from_secs(2);
+const WARM_UP: Duration = Duration::from_secs(2);
 
 /// The longest wait for a host that leaves.
-const LEAVE: Duration = Duration::from_secs(30);
+const LEAVE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// How long an engine that leaves goes on before it stops, whether or not its streams have ended.
-const STOP: Duration = Duration::from_millis(1_500);
+const STOP_DELAY: Duration = Duration::from_millis(1_500);
 
 /// The most time in which a server that leaves may get new work, in milliseconds.
-const NEW_WORK_MS: u128 = 3_000;
+const MAX_NEW_WORK_MS: u128 = 3_000;
 
 /// How the experiment runs.
 #[derive(Clone, Debug, Bpaf)]
@@ -50,7 +50,7 @@
 
 /// What came of one engine that left.
 #[derive(Clone, Copy, Debug, Default)]
-struct Left {
+struct EngineDrain {
     /// From the first word of it to the last new work.
     new_work: Duration,
     /// From the first word of it to when every router knew.
@@ -65,16 +65,16 @@
     let plan = plan();
     let mut fleet = Fleet::start(&programs, &plan).await?;
     let callers = Callers::start(&fleet, options.seed, options.streams);
-    sleep(WARM).await;
+    sleep(WARM_UP).await;
     let mut engines = Vec::new();
     for i in 0..plan.engines.len() / 3 {
         engines.push(replace_engine(&mut fleet, &plan, i).await?);
     }
     let mut drains = Vec::new();
-    let mut clean = 0;
+    let mut clean_exits = 0;
     for i in 0..plan.hosts.len() {
         let started = Instant::now();
-        clean += u64::from(replace_host(&mut fleet, i).await?);
+        clean_exits += u64::from(replace_host(&mut fleet, i).await?);
         drains.push(started.elapsed());
         fleet.settle().await?;
     }
@@ -89,28 +89,28 @@
         "streams": options.streams,
         "answers": tally,
         "cut": tally.cut,
-        "hosts_ended_clean": clean,
+        "hosts_ended_clean": clean_exits,
         "drain_ms": times(drains),
         "new_work_after_ms": new_work,
         "known_after_ms": engines.iter().map(|e| e.known.as_millis()).max(),
         "moved_streams": engines.iter().map(|e| e.moved).sum::<u64>(),
     });
     println!("{report:#}");
-    let is_good = tally.cut == 0
+    let is_within = tally.cut == 0
         && tally.is_exact()
-        && clean == plan.hosts.len() as u64
-        && new_work.is_some_and(|ms| ms <= NEW_WORK_MS);
+        && clean_exits == plan.hosts.len() as u64
+        && new_work.is_some_and(|ms| ms <= MAX_NEW_WORK_MS);
     if !options.json {
         println!(
             "{}",
-            if is_good {
+            if is_within {
                 "nobody was cut off"
             } else {
                 "FAILED"
             }
         );
     }
-    Ok(is_good)
+    Ok(is_within)
 }
 
 /// Eight entry hosts and twelve engines in three data centres.
@@ -130,7 +130,11 @@
 /// Has an engine leave, stops it and starts another at its address.
 ///
 /// Of every other engine only the host list says that it leaves; of the rest only its reports.
-async fn replace_engine(fleet: &mut Fleet, plan: &Plan, i: usize) -> Result<Left, BenchError> {
+async fn replace_engine(
+    fleet: &mut Fleet,
+    plan: &Plan,
+    i: usize,
+) -> Result<EngineDrain, BenchError> {
     let is_listed = i.is_multiple_of(2);
     let started = Instant::now();
     if is_listed {
@@ -142,71 +146,75 @@
         };
         fleet.switch(fleet.engines[i].addr, &leaving).await?;
     }
-    let mut left = watch_leaving(fleet, i, started).await?;
+    let mut drain_times = watch_leaving(fleet, i, started).await?;
     if !is_listed {
         // The engine refuses new work by itself, so that only what routers believe shows.
-        left.new_work = left.known;
+        drain_times.new_work = drain_times.known;
     }
-    sleep(STOP).await;
-    left.moved = fleet.engine_stats(i).await?.live;
+    sleep(STOP_DELAY).await;
+    drain_times.moved = fleet.engine_stats(i).await?.live;
     fleet.engines[i].process.kill();
     fleet.engines[i].process.wait().await;
     fleet.restart_engine(i)?;
     if is_listed {
         fleet.list_engine(plan, i, false).await?;
     }
-    until_back(fleet, i).await?;
-    Ok(left)
+    wait_in_use(fleet, i).await?;
+    Ok(drain_times)
 }
 
 /// Watches an engine that leaves until every router knows, and for as long again as it may take.
-async fn watch_leaving(fleet: &Fleet, i: usize, started: Instant) -> Result<Left, BenchError> {
-    let mut left = Left::default();
+async fn watch_leaving(
+    fleet: &Fleet,
+    i: usize,
+    started: Instant,
+) -> Result<EngineDrain, BenchError> {
+    let mut drain_times = EngineDrain::default();
     let mut streams = fleet.engine_stats(i).await?.streams;
     let mut is_known = false;
     let name = fleet.engines[i].name.clone();
-    while !is_known || started.elapsed() < 2 * left.known + WARM {
+    while !is_known || started.elapsed() < 2 * drain_times.known + WARM_UP {
         let now = fleet.engine_stats(i).await?.streams;
         if now > streams {
             streams = now;
-            left.new_work = started.elapsed();
+            drain_times.new_work = started.elapsed();
         }
         if !is_known {
-            is_known = all_routers(fleet, &name, true).await?;
-            left.known = started.elapsed();
+            is_known = all_routers_report(fleet, &name, true).await?;
+            drain_times.known = started.elapsed();
         }
-        if started.elapsed() > LEAVE {
+        if started.elapsed() > LEAVE_TIMEOUT {
             break;
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
-    Ok(left)
+    Ok(drain_times)
 }
 
 /// Waits until every router uses an engine again.
-async fn until_back(fleet: &Fleet, i: usize) -> Result<(), BenchError> {
-    let deadline = Instant::now() + LEAVE;
+async fn wait_in_use(fleet: &Fleet, i: usize) -> Result<(), BenchError> {
+    let deadline = Instant::now() + LEAVE_TIMEOUT;
     let name = fleet.engines[i].name.clone();
-    while !all_routers(fleet, &name, false).await? {
+    while !all_routers_report(fleet, &name, false).await? {
         if Instant::now() > deadline {
             return Err(BenchError::NotReady(name));
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
     Ok(())
 }
 
 /// Whether every router believes that an engine leaves, or that it is alive and does not.
-async fn all_routers(fleet: &Fleet, name: &str, leaving: bool) -> Result<bool, BenchError> {
+async fn all_routers_report(fleet: &Fleet, name: &str, leaving: bool) -> Result<bool, BenchError> {
     for host in 0..fleet.hosts.len() {
         let state = fleet.state(host).await?;
         let backends = state["backends"].as_array().cloned().unwrap_or_default();
-        let seen = backends.iter().find(|b| b["seen"]["backend"] == name);
-        let believes = |s: &Value| {
-            let is_so = s["seen"]["leaving"] == leaving;
-            is_so && (leaving || s["seen"]["alive"] == true)
+        let entry = backends.iter().find(|b| b["seen"]["backend"] == name);
+        let is_reported = |s: &Value| {
+            let is_same = s["seen"]["leaving"] == leaving;
+            is_same && (leaving || s["seen"]["alive"] == true)
         };
-        if !seen.is_some_and(believes) {
+        if !entry.is_some_and(is_reported) {
             return Ok(false);
         }
     }
@@ -223,8 +231,8 @@
     } else {
         drain(host.agent_admin).await?;
     }
-    let router = timeout(LEAVE, host.router.wait()).await;
-    let agent = timeout(LEAVE, host.agent.wait()).await;
+    let router = timeout(LEAVE_TIMEOUT, host.router.wait()).await;
+    let agent = timeout(LEAVE_TIMEOUT, host.agent.wait()).await;
     fleet.restart_host(i)?;
     Ok(router == Ok(true) && agent == Ok(true))
 }
--- a/crates/gooseberry-bench/src/drain/callers.rs
+++ b/crates/gooseberry-bench/src/drain/callers.rs
@@ -17,13 +17,13 @@
 use crate::harness::fleet::{CALL, Fleet};
 
 /// The time between two looks of the balancer at a host.
-const BALANCER: Duration = Duration::from_millis(100);
+const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The longest that one answer may take.
-const LIMIT: Duration = Duration::from_secs(60);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// The fewest and the most tokens of an answer.
-const TOKENS: (u64, u64) = (20, 400);
+const TOKEN_RANGE: (u64, u64) = (20, 400);
 
 /// What became of all answers.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
@@ -56,7 +56,7 @@
 }
 
 /// The hosts that are ready.
-type Ready = Arc<Mutex<Vec<SocketAddr>>>;
+type ReadyHosts = Arc<Mutex<Vec<SocketAddr>>>;
 
 /// Callers that ask without pause.
 #[derive(Debug)]
@@ -70,13 +70,13 @@
     /// Starts so many callers.
     pub(crate) fn start(fleet: &Fleet, seed: u64, count: usize) -> Self {
         let hosts: Vec<_> = fleet.hosts.iter().map(|h| (h.callers, h.admin)).collect();
-        let ready: Ready = Arc::new(Mutex::new(hosts.iter().map(|h| h.0).collect()));
-        let balancer = tokio::spawn(balance(hosts, ready.clone()));
+        let ready: ReadyHosts = Arc::new(Mutex::new(hosts.iter().map(|h| h.0).collect()));
+        let balancer = tokio::spawn(poll_readiness(hosts, ready.clone()));
         let stop = CancellationToken::new();
         let mut tasks = JoinSet::new();
         for i in 0..count {
             let random = StdRng::seed_from_u64(seed.wrapping_mul(1_000) + i as u64);
-            tasks.spawn(call(i, random, ready.clone(), stop.clone()));
+            tasks.spawn(run_caller(i, random, ready.clone(), stop.clone()));
         }
         Self {
             stop,
@@ -98,7 +98,7 @@
 }
 
 /// Keeps the list of ready hosts.
-async fn balance(hosts: Vec<(SocketAddr, SocketAddr)>, ready: Ready) {
+async fn poll_readiness(hosts: Vec<(SocketAddr, SocketAddr)>, ready: ReadyHosts) {
     loop {
         let mut found = Vec::new();
         for (callers, admin) in &hosts {
@@ -108,17 +108,22 @@
             }
         }
         *ready.lock().unwrap_or_else(|e| e.into_inner()) = found;
-        sleep(BALANCER).await;
+        sleep(HEALTH_CHECK_INTERVAL).await;
     }
 }
 
 /// Asks one thing after the other.
-async fn call(caller: usize, mut random: StdRng, ready: Ready, stop: CancellationToken) -> Tally {
+async fn run_caller(
+    caller: usize,
+    mut random: StdRng,
+    ready: ReadyHosts,
+    stop: CancellationToken,
+) -> Tally {
     let mut tally = Tally::default();
     while !stop.is_cancelled() {
         let hosts = ready.lock().unwrap_or_else(|e| e.into_inner()).clone();
         if hosts.is_empty() {
-            sleep(BALANCER).await;
+            sleep(HEALTH_CHECK_INTERVAL).await;
             continue;
         }
         let ask = Ask {
@@ -126,10 +131,10 @@
             bearer: BEARER.to_owned(),
             model: "draft-model".to_owned(),
             prompt: format!("Case {caller}-{}: draft the letter.", tally.requests),
-            max_tokens: random.random_range(TOKENS.0..=TOKENS.1),
+            max_tokens: random.random_range(TOKEN_RANGE.0..=TOKEN_RANGE.1),
             first: random.random_range(0..hosts.len()),
             hosts,
-            limit: LIMIT,
+            limit: ANSWER_TIMEOUT,
         };
         let seen = ask.run().await;
         tally.add(&Tally {
--- a/crates/gooseberry-bench/src/load.rs
+++ b/crates/gooseberry-bench/src/load.rs
@@ -48,7 +48,7 @@
 
 /// Whether each bound is kept.
 #[derive(Clone, Copy, Debug, Serialize)]
-struct Kept {
+struct BoundResults {
     goodput: bool,
     late: bool,
     fairness: bool,
@@ -59,7 +59,7 @@
 /// Runs the experiment; returns whether all bounds are kept.
 pub(crate) async fn run(options: Options) -> Result<bool, BenchError> {
     let programs = build::programs().await?;
-    let mut is_kept = true;
+    let mut is_within = true;
     let mut deployments = Vec::new();
     for deployment in plan::deployments() {
         let steps = run_rule(
@@ -76,7 +76,8 @@
             baselines.extend(ran.into_iter().last().map(|step| (rule, step)));
         }
         let kept = judge(&steps, &baselines);
-        is_kept &= kept.goodput && kept.late && kept.fairness && kept.ttft_p95 && kept.prefix_hits;
+        is_within &=
+            kept.goodput && kept.late && kept.fairness && kept.ttft_p95 && kept.prefix_hits;
         deployments.push(report(&deployment, &steps, &baselines, kept));
     }
     let report = json!({
@@ -84,20 +85,20 @@
         "commit": build::commit().await,
         "step_s": options.seconds,
         "deployments": deployments,
-        "ok": is_kept,
+        "ok": is_within,
     });
     println!("{report:#}");
     if !options.json {
         println!(
             "{}",
-            if is_kept {
+            if is_within {
                 "all bounds are kept"
             } else {
                 "FAILED"
             }
         );
     }
-    Ok(is_kept)
+    Ok(is_within)
 }
 
 /// Runs steps under one rule, with processes and caches of their own.
@@ -122,27 +123,27 @@
     Ok(steps)
 }
 
-fn judge(steps: &[Step], baselines: &[(balance::Rule, Step)]) -> Kept {
+fn judge(steps: &[Step], baselines: &[(balance::Rule, Step)]) -> BoundResults {
     let best = steps.iter().map(|s| s.goodput).fold(0.0, f64::max);
     let last = steps.last();
-    let like = steps
+    let comparable = steps
         .iter()
         .find(|s| Some(&s.load) == BASELINE_LOADS.last());
-    Kept {
+    BoundResults {
         goodput: last.is_some_and(|s| s.goodput >= MIN_GOODPUT * best),
         late: steps.iter().all(|s| s.late == 0),
         fairness: last.is_some_and(|s| s.fairness >= MIN_FAIRNESS),
-        ttft_p95: beats(like, baselines, |own, other| {
+        ttft_p95: beats_all(comparable, baselines, |own, other| {
             own.ttft_ms.p95 < other.ttft_ms.p95
         }),
-        prefix_hits: beats(like, baselines, |own, other| {
+        prefix_hits: beats_all(comparable, baselines, |own, other| {
             own.prefix_hits > other.prefix_hits
         }),
     }
 }
 
 /// Whether a step is better than that of every baseline.
-fn beats(
+fn beats_all(
     own: Option<&Step>,
     baselines: &[(balance::Rule, Step)],
     is_better: impl Fn(&Step, &Step) -> bool,
@@ -154,7 +155,7 @@
     deployment: &Deployment,
     steps: &[Step],
     baselines: &[(balance::Rule, Step)],
-    kept: Kept,
+    kept: BoundResults,
 ) -> Value {
     let baselines: Vec<Value> = baselines
         .iter()
--- a/crates/gooseberry-bench/src/load/caller.rs
+++ b/crates/gooseberry-bench/src/load/caller.rs
@@ -15,14 +15,14 @@
 use web::client::CallError;
 
 /// The longest wait for the head of an answer.
-const HEAD: Duration = Duration::from_secs(10);
+const HEADERS_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The longest silence in an answer.
-const SILENCE: Duration = Duration::from_secs(5);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// What one request is.
 #[derive(Clone, Debug)]
-pub(crate) struct Ask {
+pub(crate) struct LoadRequest {
     /// The entry host.
     pub(crate) host: SocketAddr,
     /// The bearer key.
@@ -37,7 +37,7 @@
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum End {
+pub(crate) enum Outcome {
     /// The whole answer came.
     Served,
     /// Refused as not run, with a time to come back.
@@ -48,70 +48,74 @@
 
 /// What came of a request.
 #[derive(Clone, Debug)]
-pub(crate) struct Seen {
+pub(crate) struct RequestResult {
     /// When it was sent.
     pub(crate) sent: Instant,
     /// When tokens came, and how many.
     pub(crate) arrivals: Vec<(Instant, u64)>,
     /// How it ended.
-    pub(crate) end: End,
+    pub(crate) outcome: Outcome,
     /// When it ended.
     pub(crate) ended: Instant,
 }
 
-impl Ask {
+impl LoadRequest {
     /// Sends the request and reads the answer.
-    pub(crate) async fn run(&self) -> Seen {
+    pub(crate) async fn run(&self) -> RequestResult {
         let sent = Instant::now();
         let mut arrivals = Vec::new();
-        let end = self.read(&mut arrivals, |_| ()).await;
-        Seen {
+        let outcome = self.read(&mut arrivals, |_| ()).await;
+        RequestResult {
             sent,
             arrivals,
-            end,
+            outcome,
             ended: Instant::now(),
         }
     }
 
     /// Reads the answer; `note` is told of each number of tokens as it comes.
-    pub(crate) async fn read(&self, arrivals: &mut Vec<(Instant, u64)>, note: impl Fn(u64)) -> End {
-        let answer = web::client::send(self.host, self.request(), HEAD).await;
+    pub(crate) async fn read(
+        &self,
+        arrivals: &mut Vec<(Instant, u64)>,
+        on_tokens: impl Fn(u64),
+    ) -> Outcome {
+        let answer = web::client::send(self.host, self.request(), HEADERS_TIMEOUT).await;
         let Ok(response) = answer else {
-            return End::Failed;
+            return Outcome::Failed;
         };
         if !response.status().is_success() {
-            let says_when = response.headers().contains_key(RETRY_AFTER);
+            let has_retry_after = response.headers().contains_key(RETRY_AFTER);
             let body = web::client::read_whole(self.host, response).await;
-            return refused(says_when, body.err());
+            return classify_refusal(has_retry_after, body.err());
         }
         let mut events = SseStream::new(response.into_body());
         let mut text = String::new();
-        while let Ok(Some(Ok(event))) = timeout(SILENCE, events.next()).await {
+        while let Ok(Some(Ok(event))) = timeout(IDLE_TIMEOUT, events.next()).await {
             if event.event.is_some() {
-                return End::Failed;
+                return Outcome::Failed;
             }
             let data = event.data.as_deref().unwrap_or_default();
             if data == "[DONE]" {
-                return self.whole(&text);
+                return self.check_text(&text);
             }
             let body: Value = serde_json::from_str(data).unwrap_or_default();
             let piece = body["choices"][0]["text"].as_str().unwrap_or_default();
             let count = piece.split_whitespace().count() as u64;
             if count > 0 {
                 arrivals.push((Instant::now(), count));
-                note(count);
+                on_tokens(count);
                 text.push_str(piece);
             }
         }
-        End::Failed
+        Outcome::Failed
     }
 
     /// Whether a text is the whole answer.
-    fn whole(&self, text: &str) -> End {
+    fn check_text(&self, text: &str) -> Outcome {
         let (length, _) = sequence::length(&self.prompt, self.max_tokens);
         match sequence::check(&self.prompt, text) {
-            Ok(count) if count == length => End::Served,
-            _ => End::Failed,
+            Ok(count) if count == length => Outcome::Served,
+            _ => Outcome::Failed,
         }
     }
 
@@ -132,14 +136,14 @@
 }
 
 /// Whether an error says that the request was not run, and when to come back.
-fn refused(says_when: bool, error: Option<CallError>) -> End {
+fn classify_refusal(has_retry_after: bool, error: Option<CallError>) -> Outcome {
     let Some(CallError::Status { body, .. }) = error else {
-        return End::Failed;
+        return Outcome::Failed;
     };
     let body: Value = serde_json::from_str(&body).unwrap_or_default();
-    if says_when && body["ran"] == "not_run" {
-        End::Shed
+    if has_retry_after && body["ran"] == "not_run" {
+        Outcome::Shed
     } else {
-        End::Failed
+        Outcome::Failed
     }
 }
--- a/crates/gooseberry-bench/src/load/plan.rs
+++ b/crates/gooseberry-bench/src/load/plan.rs
@@ -27,7 +27,7 @@
 const CACHE_BLOCKS: usize = 512;
 
 /// The most tokens of one draft.
-pub(super) const TOKENS: u64 = 50;
+pub(super) const MAX_TOKENS: u64 = 50;
 
 /// The mean length of a draft as a part of [`TOKENS`]: one in four ends at three quarters.
 const MEAN_LENGTH: f64 = 0.9375;
@@ -37,13 +37,13 @@
 
 /// A workspace and its part of the offered load.
 #[derive(Clone, Debug)]
-pub(super) struct Space {
+pub(super) struct WorkspaceLoad {
     /// The name, which is also its bearer key.
     pub(super) name: String,
     /// Its weight.
     pub(super) share: u32,
     /// Its part of the requests, in thousandths.
-    pub(super) part: u64,
+    pub(super) per_mille: u64,
 }
 
 /// One deployment.
@@ -58,7 +58,7 @@
     /// The data centre of each engine.
     pub(super) engines: Vec<DataCentre>,
     /// The workspaces.
-    pub(super) workspaces: Vec<Space>,
+    pub(super) workspaces: Vec<WorkspaceLoad>,
 }
 
 /// Both deployments at their sizes of today.
@@ -82,31 +82,31 @@
 fn deployment(
     name: &'static str,
     service: &'static str,
-    places: &[&str],
+    data_centres: &[&str],
     engines: usize,
 ) -> Deployment {
-    let spread = |count: usize| -> Vec<DataCentre> {
+    let assign = |count: usize| -> Vec<DataCentre> {
         (0..count)
-            .map(|i| DataCentre::from(places[i % places.len()]))
+            .map(|i| DataCentre::from(data_centres[i % data_centres.len()]))
             .collect()
     };
     Deployment {
         name,
         service,
-        hosts: spread(HOSTS),
-        engines: spread(engines),
+        hosts: assign(HOSTS),
+        engines: assign(engines),
         workspaces: workspaces(),
     }
 }
 
 /// Three large workspaces, one of them greedy, among seven small ones.
-fn workspaces() -> Vec<Space> {
+fn workspaces() -> Vec<WorkspaceLoad> {
     let large = [380, 230, 180];
     let small = [30; 7];
-    let one = |(i, part): (usize, &u64)| Space {
+    let one = |(i, per_mille): (usize, &u64)| WorkspaceLoad {
         name: format!("workspace-{i}"),
-        share: if *part > 100 { 2 } else { 1 },
-        part: *part,
+        share: if *per_mille > 100 { 2 } else { 1 },
+        per_mille: *per_mille,
     };
     large.iter().chain(&small).enumerate().map(one).collect()
 }
@@ -114,7 +114,7 @@
 impl Deployment {
     /// The requests a second that the engines carry when all prefixes are cached.
     pub(super) fn capacity(&self) -> f64 {
-        let hold_ms = FIRST_MS as f64 + TOKENS as f64 * MEAN_LENGTH * GAP_MS as f64;
+        let hold_ms = FIRST_MS as f64 + MAX_TOKENS as f64 * MEAN_LENGTH * GAP_MS as f64;
         (self.engines.len() * SLOTS) as f64 * 1_000.0 / hold_ms
     }
 
@@ -146,10 +146,10 @@
             "choice": rule,
         }))
         .unwrap_or_else(|_| unreachable!("the profile's other fields have defaults"));
-        let workspace = |space: &Space| Workspace {
-            name: WorkspaceName::from(space.name.as_str()),
-            keys: vec![key_digest(&space.name)],
-            share: space.share,
+        let workspace = |load: &WorkspaceLoad| Workspace {
+            name: WorkspaceName::from(load.name.as_str()),
+            keys: vec![key_digest(&load.name)],
+            share: load.share,
             running: 0,
         };
         Document {
--- a/crates/gooseberry-bench/src/load/step.rs
+++ b/crates/gooseberry-bench/src/load/step.rs
@@ -9,8 +9,8 @@
 use serde::Serialize;
 use tokio::time::{Instant, sleep_until};
 
-use super::caller::{Ask, End, Seen};
-use super::plan::{DEADLINE_MS, Deployment, TOKENS};
+use super::caller::{LoadRequest, Outcome, RequestResult};
+use super::plan::{DEADLINE_MS, Deployment, MAX_TOKENS};
 use crate::harness::BenchError;
 use crate::harness::fleet::Fleet;
 use crate::harness::report::{Times, times};
@@ -22,7 +22,7 @@
 const SCRIPT_BYTES: usize = 4_096;
 
 /// The time from the start of a step after which tokens are counted.
-const WARM: Duration = Duration::from_secs(3);
+const WARM_UP: Duration = Duration::from_secs(3);
 
 /// What a step showed.
 #[derive(Clone, Debug, Serialize)]
@@ -59,7 +59,7 @@
 struct Arrival {
     at: Duration,
     workspace: usize,
-    ask: Ask,
+    request: LoadRequest,
 }
 
 /// Offers one load for some seconds and waits for all answers.
@@ -72,25 +72,25 @@
 ) -> Result<Step, BenchError> {
     let span = Duration::from_secs(seconds);
     let arrivals = arrivals(fleet, deployment, load, seed, span);
-    let spaces: Vec<usize> = arrivals.iter().map(|a| a.workspace).collect();
+    let workspaces: Vec<usize> = arrivals.iter().map(|a| a.workspace).collect();
     let before = stats(fleet).await?;
     let start = Instant::now();
     let send = |arrival: Arrival| async move {
         sleep_until(start + arrival.at).await;
-        arrival.ask.run().await
+        arrival.request.run().await
     };
     let tasks = arrivals.into_iter().map(|a| tokio::spawn(send(a)));
     let joined = join_all(tasks).await;
-    let seen: Vec<(usize, Seen)> = spaces
+    let results: Vec<(usize, RequestResult)> = workspaces
         .into_iter()
         .zip(joined)
-        .filter_map(|(space, seen)| Some((space, seen.ok()?)))
+        .filter_map(|(workspace, result)| Some((workspace, result.ok()?)))
         .collect();
     let after = stats(fleet).await?;
     Ok(summary(
         deployment,
         load,
-        &seen,
+        &results,
         start..start + span,
         (before, after),
     ))
@@ -114,34 +114,38 @@
         if at >= span {
             return all;
         }
-        let workspace = draw_space(deployment, random.random_range(0..1_000));
+        let workspace = draw_workspace(deployment, random.random_range(0..1_000));
         let host = random.random_range(0..fleet.hosts.len());
         let script = random.random_range(0..SCRIPTS);
         let scene: u64 = random.random();
         let name = &deployment.workspaces[workspace].name;
-        let ask = Ask {
+        let request = LoadRequest {
             host: fleet.hosts[host].callers,
             bearer: name.clone(),
             service: deployment.service.to_owned(),
             prompt: prompt(name, script, scene),
-            max_tokens: TOKENS,
+            max_tokens: MAX_TOKENS,
         };
-        all.push(Arrival { at, workspace, ask });
+        all.push(Arrival {
+            at,
+            workspace,
+            request,
+        });
     }
 }
 
 /// The workspace of a number below 1,000.
-fn draw_space(deployment: &Deployment, number: u64) -> usize {
+fn draw_workspace(deployment: &Deployment, number: u64) -> usize {
     let mut sum = 0;
-    let is_past = |part: u64| {
-        sum += part;
+    let is_drawn = |per_mille: u64| {
+        sum += per_mille;
         number < sum
     };
     let found = deployment
         .workspaces
         .iter()
-        .map(|w| w.part)
-        .position(is_past);
+        .map(|w| w.per_mille)
+        .position(is_drawn);
     found.unwrap_or(0)
 }
 
@@ -168,22 +172,23 @@
 fn summary(
     deployment: &Deployment,
     load: u64,
-    seen: &[(usize, Seen)],
+    results: &[(usize, RequestResult)],
     window: std::ops::Range<Instant>,
     (before, after): (Stats, Stats),
 ) -> Step {
-    let count = |end: End| seen.iter().filter(|(_, s)| s.end == end).count() as u64;
-    let first = |s: &Seen| Some(s.arrivals.first()?.0 - s.sent);
+    let count =
+        |outcome: Outcome| results.iter().filter(|(_, s)| s.outcome == outcome).count() as u64;
+    let first = |s: &RequestResult| Some(s.arrivals.first()?.0 - s.sent);
     let deadline = Duration::from_millis(DEADLINE_MS);
-    let is_late = |s: &Seen| first(s).is_some_and(|t| t > deadline);
-    let served: Vec<&Seen> = seen
+    let is_late = |s: &RequestResult| first(s).is_some_and(|t| t > deadline);
+    let served: Vec<&RequestResult> = results
         .iter()
-        .filter(|(_, s)| s.end == End::Served)
+        .filter(|(_, s)| s.outcome == Outcome::Served)
         .map(|(_, s)| s)
         .collect();
-    let shed = seen.iter().filter(|(_, s)| s.end == End::Shed);
-    let counted = window.start + WARM..window.end;
-    let tokens = |s: &Seen| -> u64 {
+    let shed = results.iter().filter(|(_, s)| s.outcome == Outcome::Shed);
+    let counted = window.start + WARM_UP..window.end;
+    let tokens = |s: &RequestResult| -> u64 {
         let within = s.arrivals.iter().filter(|(at, _)| counted.contains(at));
         within.map(|(_, count)| count).sum()
     };
@@ -192,14 +197,14 @@
     let prompts = (after.cached + after.prefill) - (before.cached + before.prefill);
     Step {
         load,
-        offered: seen.len() as u64,
-        served: count(End::Served),
-        shed: count(End::Shed),
-        failed: count(End::Failed),
+        offered: results.len() as u64,
+        served: count(Outcome::Served),
+        shed: count(Outcome::Shed),
+        failed: count(Outcome::Failed),
         ttft_ms: times(served.iter().filter_map(|s| first(s))),
         gap_ms: times(served.iter().flat_map(|s| gaps(s))),
         shed_ms: times(shed.map(|(_, s)| s.ended - s.sent)),
-        fairness: fairness(deployment, seen, tokens),
+        fairness: fairness(deployment, results, tokens),
         prefix_hits: (after.cached - before.cached) as f64 / prompts.max(1) as f64,
         late: served.iter().filter(|s| is_late(s)).count() as u64,
         goodput: in_time.map(|s| tokens(s)).sum::<u64>() as f64 / seconds,
@@ -208,26 +213,34 @@
 }
 
 /// The times between events with tokens.
-fn gaps(seen: &Seen) -> Vec<Duration> {
-    let pairs = seen.arrivals.windows(2);
+fn gaps(result: &RequestResult) -> Vec<Duration> {
+    let pairs = result.arrivals.windows(2);
     pairs.map(|pair| pair[1].0 - pair[0].0).collect()
 }
 
 /// Jain's index of tokens by share over the workspaces that ask for more than their share.
-fn fairness(deployment: &Deployment, seen: &[(usize, Seen)], tokens: impl Fn(&Seen) -> u64) -> f64 {
-    let of = |i: usize| seen.iter().filter(move |(space, _)| *space == i);
-    let got: Vec<u64> = (0..deployment.workspaces.len())
-        .map(|i| of(i).map(|(_, s)| tokens(s)).sum())
+fn fairness(
+    deployment: &Deployment,
+    results: &[(usize, RequestResult)],
+    tokens: impl Fn(&RequestResult) -> u64,
+) -> f64 {
+    let results_of = |i: usize| results.iter().filter(move |(workspace, _)| *workspace == i);
+    let received: Vec<u64> = (0..deployment.workspaces.len())
+        .map(|i| results_of(i).map(|(_, s)| tokens(s)).sum())
         .collect();
-    let served = seen.iter().filter(|(_, s)| s.end == End::Served).count();
+    let served = results
+        .iter()
+        .filter(|(_, s)| s.outcome == Outcome::Served)
+        .count();
     let shares: u32 = deployment.workspaces.iter().map(|w| w.share).sum();
-    let asks_more = |i: &usize| {
+    let exceeds_share = |i: &usize| {
         let share = f64::from(deployment.workspaces[*i].share) / f64::from(shares);
-        of(*i).count() as f64 > served as f64 * share && of(*i).any(|(_, s)| s.end == End::Shed)
+        results_of(*i).count() as f64 > served as f64 * share
+            && results_of(*i).any(|(_, s)| s.outcome == Outcome::Shed)
     };
     let rates: Vec<f64> = (0..deployment.workspaces.len())
-        .filter(asks_more)
-        .map(|i| got[i] as f64 / f64::from(deployment.workspaces[i].share))
+        .filter(exceeds_share)
+        .map(|i| received[i] as f64 / f64::from(deployment.workspaces[i].share))
         .collect();
     let sum: f64 = rates.iter().sum();
     let squares: f64 = rates.iter().map(|r| r * r).sum();
--- a/crates/gooseberry-bench/src/overhead.rs
+++ b/crates/gooseberry-bench/src/overhead.rs
@@ -14,11 +14,11 @@
 use crate::harness::fleet::Fleet;
 use crate::harness::report::{Times, times};
 use crate::harness::{BenchError, build, usage};
-use crate::load::caller::Ask;
+use crate::load::caller::LoadRequest;
 use crate::slopes::work::plan;
 
 /// The longest wait for an engine's acceptance.
-const OPEN: Duration = Duration::from_secs(5);
+const ACCEPT_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// How the overhead is measured.
 #[derive(Clone, Debug, Bpaf)]
@@ -35,7 +35,7 @@
 
 /// One way of reading streams.
 #[derive(Clone, Debug, Serialize)]
-struct Way {
+struct PathCost {
     ttft_ms: Times,
     gap_ms: Times,
     tokens: u64,
@@ -77,7 +77,7 @@
     fleet: &Fleet,
     streams: impl Future<Output = Vec<Arrivals>>,
     is_routed: bool,
-) -> Way {
+) -> PathCost {
     let engines = || -> Duration {
         let pids = fleet.engines.iter().map(|e| e.process.id());
         pids.map(usage::cpu).sum()
@@ -98,7 +98,7 @@
         let pairs = arrivals.windows(2);
         pairs.map(|p| p[1].0 - p[0].0).collect()
     };
-    Way {
+    PathCost {
         ttft_ms: times(seen.iter().filter_map(first)),
         gap_ms: times(seen.iter().flat_map(gaps)),
         tokens,
@@ -124,7 +124,7 @@
         async move {
             let sent = Instant::now();
             let mut arrivals = Vec::new();
-            if let Ok(mut frames) = engine::client::generate(addr, &body, OPEN).await {
+            if let Ok(mut frames) = engine::client::generate(addr, &body, ACCEPT_TIMEOUT).await {
                 while let Ok(Some(frame)) = frames.next().await {
                     match frame {
                         Frame::Token { .. } => arrivals.push((Instant::now(), 1)),
@@ -142,7 +142,7 @@
 /// The same streams through the first router.
 fn routed(fleet: &Fleet, options: &Options) -> Vec<impl Future<Output = Arrivals>> {
     let one = |i: usize| {
-        let ask = Ask {
+        let request = LoadRequest {
             host: fleet.hosts[0].callers,
             bearer: demo::BEARER.to_owned(),
             service: "draft-model".to_owned(),
@@ -151,7 +151,7 @@
         };
         async move {
             let sent = Instant::now();
-            (sent, ask.run().await.arrivals)
+            (sent, request.run().await.arrivals)
         }
     };
     (0..options.streams).map(one).collect()
--- a/crates/gooseberry-bench/src/slopes.rs
+++ b/crates/gooseberry-bench/src/slopes.rs
@@ -16,31 +16,31 @@
 use work::{Batch, plan};
 
 /// The streams of the runs that vary the tokens.
-const STREAMS: usize = 60;
+const STREAM_COUNT: usize = 60;
 
 /// The lengths of the outputs, in tokens.
-const LENGTHS: [u64; 3] = [50, 200, 400];
+const OUTPUT_LENGTHS: [u64; 3] = [50, 200, 400];
 
 /// The numbers of requests with a single token.
-const REQUESTS: [usize; 3] = [100, 300, 600];
+const REQUEST_COUNTS: [usize; 3] = [100, 300, 600];
 
 /// The numbers of streams that are open at once.
-const OPEN: [usize; 3] = [50, 150, 300];
+const OPEN_STREAMS: [usize; 3] = [50, 150, 300];
 
 /// The times at which the memory of growing streams is read, in milliseconds.
 const GROWTH_MS: [u64; 3] = [500, 1_500, 3_000];
 
 /// The numbers of engines of which agents read the load.
-const ENGINES: [usize; 3] = [4, 12, 24];
+const ENGINE_COUNTS: [usize; 3] = [4, 12, 24];
 
 /// The numbers of entry hosts.
-const HOSTS: [usize; 3] = [2, 5, 8];
+const HOST_COUNTS: [usize; 3] = [2, 5, 8];
 
 /// The numbers of workspaces in the configuration.
-const WORKSPACES: [usize; 3] = [10, 100, 490];
+const WORKSPACE_COUNTS: [usize; 3] = [10, 100, 490];
 
 /// How long idle processes are watched.
-const IDLE: Duration = Duration::from_secs(4);
+const IDLE_PERIOD: Duration = Duration::from_secs(4);
 
 /// The time that open streams are given to start.
 const SETTLE: Duration = Duration::from_millis(1_500);
@@ -55,7 +55,7 @@
 /// Measures all slopes; returns whether each stream was whole.
 pub(crate) async fn run(options: Options) -> Result<bool, BenchError> {
     let programs = build::programs().await?;
-    let (token, is_whole) = cpu_by_token(&programs).await?;
+    let (token, is_complete) = cpu_by_token(&programs).await?;
     let (request, is_answered) = cpu_by_request(&programs).await?;
     let report = json!({
         "commit": build::commit().await,
@@ -68,51 +68,51 @@
         "view_bytes_by_engine": view_by_engine(&programs).await?,
         "document_bytes_by_workspace": document_by_workspace(),
         "not_measured": ["bytes by heartbeat", "bytes by change of configuration"],
-        "whole": is_whole && is_answered,
+        "whole": is_complete && is_answered,
     });
     println!("{report:#}");
     if !options.json {
         println!("processor time is that of all routers, the witness included");
     }
-    Ok(is_whole && is_answered)
+    Ok(is_complete && is_answered)
 }
 
 /// The processor time of both routers by token, the owner's and the witness's together.
 async fn cpu_by_token(programs: &Path) -> Result<(Fit, bool), BenchError> {
     let fleet = Fleet::start(programs, &plan(2, 3, 10)).await?;
     let mut points = Vec::new();
-    let mut is_whole = true;
-    for tokens in LENGTHS {
+    let mut is_complete = true;
+    for tokens in OUTPUT_LENGTHS {
         let before = cpu(&fleet);
-        let served = Batch::start(&fleet, STREAMS, tokens).finish().await;
-        is_whole &= served.whole == STREAMS;
+        let served = Batch::start(&fleet, STREAM_COUNT, tokens).finish().await;
+        is_complete &= served.complete == STREAM_COUNT;
         let used = cpu(&fleet) - before;
         points.push((served.tokens as f64, used.as_secs_f64() * 1e6));
     }
     fleet.stop().await;
-    Ok((fit(points), is_whole))
+    Ok((fit(points), is_complete))
 }
 
 /// The processor time of both routers by request of one token.
 async fn cpu_by_request(programs: &Path) -> Result<(Fit, bool), BenchError> {
     let fleet = Fleet::start(programs, &plan(2, 3, 10)).await?;
     let mut points = Vec::new();
-    let mut is_whole = true;
-    for count in REQUESTS {
+    let mut is_complete = true;
+    for count in REQUEST_COUNTS {
         let before = cpu(&fleet);
         let served = Batch::start(&fleet, count, 1).finish().await;
-        is_whole &= served.whole == count;
+        is_complete &= served.complete == count;
         let used = cpu(&fleet) - before;
         points.push((count as f64, used.as_secs_f64() * 1e6));
     }
     fleet.stop().await;
-    Ok((fit(points), is_whole))
+    Ok((fit(points), is_complete))
 }
 
 /// The memory of both routers by open stream.
 async fn memory_by_stream(programs: &Path) -> Result<Fit, BenchError> {
     let mut points = Vec::new();
-    for count in OPEN {
+    for count in OPEN_STREAMS {
         let fleet = Fleet::start(programs, &plan(2, 3, 500)).await?;
         let before = memory(&fleet);
         let batch = Batch::start(&fleet, count, 20);
@@ -127,7 +127,7 @@
 /// The memory of both routers by token of open streams: the owner's copies and the witness's.
 async fn memory_by_token(programs: &Path) -> Result<Fit, BenchError> {
     let fleet = Fleet::start(programs, &plan(2, 3, 5)).await?;
-    let batch = Batch::start(&fleet, STREAMS, 4_000);
+    let batch = Batch::start(&fleet, STREAM_COUNT, 4_000);
     let mut points = Vec::new();
     let mut waited = 0;
     for at in GROWTH_MS {
@@ -143,7 +143,7 @@
 /// The processor time a second of one idle agent by engine.
 async fn agent_by_engine(programs: &Path) -> Result<Fit, BenchError> {
     let mut points = Vec::new();
-    for engines in ENGINES {
+    for engines in ENGINE_COUNTS {
         let fleet = Fleet::start(programs, &plan(1, engines, 10)).await?;
         points.push((engines as f64, idle_agent(&fleet).await));
         fleet.stop().await;
@@ -160,13 +160,13 @@
         let text = serde_json::to_string(&document).unwrap_or_default();
         (count as f64, text.len() as f64)
     };
-    fit(WORKSPACES.into_iter().map(size).collect())
+    fit(WORKSPACE_COUNTS.into_iter().map(size).collect())
 }
 
 /// The processor time a second of one idle agent by entry host.
 async fn agent_by_host(programs: &Path) -> Result<Fit, BenchError> {
     let mut points = Vec::new();
-    for hosts in HOSTS {
+    for hosts in HOST_COUNTS {
         let fleet = Fleet::start(programs, &plan(hosts, 4, 10)).await?;
         points.push((hosts as f64, idle_agent(&fleet).await));
         fleet.stop().await;
@@ -177,7 +177,7 @@
 /// The size of what an agent tells its router, as JSON, by engine.
 async fn view_by_engine(programs: &Path) -> Result<Fit, BenchError> {
     let mut points = Vec::new();
-    for engines in ENGINES {
+    for engines in ENGINE_COUNTS {
         let fleet = Fleet::start(programs, &plan(1, engines, 10)).await?;
         let state = fleet.state(0).await?;
         let bytes = state["backends"].as_array().map(|all| {
@@ -194,8 +194,8 @@
 async fn idle_agent(fleet: &Fleet) -> f64 {
     let pid = fleet.hosts[0].agent.id();
     let before = usage::cpu(pid);
-    sleep(IDLE).await;
-    (usage::cpu(pid) - before).as_secs_f64() * 1e6 / IDLE.as_secs_f64()
+    sleep(IDLE_PERIOD).await;
+    (usage::cpu(pid) - before).as_secs_f64() * 1e6 / IDLE_PERIOD.as_secs_f64()
 }
 
 /// The processor time of all routers.
--- a/crates/gooseberry-bench/src/slopes/work.rs
+++ b/crates/gooseberry-bench/src/slopes/work.rs
@@ -9,7 +9,7 @@
 
 use crate::demo;
 use crate::harness::fleet::{Fleet, PlainPlan, Plan};
-use crate::load::caller::{Ask, End};
+use crate::load::caller::{LoadRequest, Outcome};
 
 /// The streams that one engine generates at once: more than any run opens.
 const SLOTS: usize = 1_000;
@@ -40,15 +40,15 @@
 
 /// Streams under way.
 pub(crate) struct Batch {
-    tasks: Vec<JoinHandle<End>>,
+    tasks: Vec<JoinHandle<Outcome>>,
     tokens: Arc<AtomicU64>,
 }
 
 /// What a batch came to.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Served {
+pub(crate) struct BatchResult {
     /// The streams with a whole answer.
-    pub(crate) whole: usize,
+    pub(crate) complete: usize,
     /// The tokens received.
     pub(crate) tokens: u64,
 }
@@ -58,7 +58,7 @@
     pub(crate) fn start(fleet: &Fleet, count: usize, tokens: u64) -> Self {
         let received = Arc::new(AtomicU64::new(0));
         let open = |i: usize| {
-            let ask = Ask {
+            let request = LoadRequest {
                 host: fleet.hosts[i % fleet.hosts.len()].callers,
                 bearer: demo::BEARER.to_owned(),
                 service: "draft-model".to_owned(),
@@ -68,10 +68,11 @@
             let received = received.clone();
             tokio::spawn(async move {
                 let mut arrivals = Vec::new();
-                ask.read(&mut arrivals, |count| {
-                    received.fetch_add(count, Ordering::Relaxed);
-                })
-                .await
+                request
+                    .read(&mut arrivals, |count| {
+                        received.fetch_add(count, Ordering::Relaxed);
+                    })
+                    .await
             })
         };
         Self {
@@ -86,13 +87,13 @@
     }
 
     /// Waits for all streams to end.
-    pub(crate) async fn finish(self) -> Served {
-        let mut whole = 0;
+    pub(crate) async fn finish(self) -> BatchResult {
+        let mut complete = 0;
         for task in self.tasks {
-            whole += usize::from(task.await.is_ok_and(|end| end == End::Served));
+            complete += usize::from(task.await.is_ok_and(|outcome| outcome == Outcome::Served));
         }
-        Served {
-            whole,
+        BatchResult {
+            complete,
             tokens: self.tokens.load(Ordering::Relaxed),
         }
     }
