--- a/crates/gooseberry-bench/src/calls.rs
+++ b/crates/gooseberry-bench/src/calls.rs
@@ -1,4 +1,7 @@
-//! `calls`: calls to a plain service under faults; no key runs twice, and `not_run` is true.
+//! `calls`: calls a plain service under faults.
+//!
+//! Checks that no idempotency key is executed more than once and that a call answered with
+//! `not_run` was never executed.
 
 mod caller;
 mod faults;
@@ -22,40 +25,40 @@
 use crate::harness::{BenchError, build};
 use caller::{Call, CallResult, Outcome, Submission};
 
-/// The bearer key of the workspace.
+/// Bearer key of the calling workspace.
 const BEARER: &str = "crew-key";
 
-/// The service that is called.
+/// Name of the plain service under test.
 const SERVICE: &str = "booking-app";
 
-/// The longest that a caller may wait for its answer, in milliseconds.
+/// Deadline of a call in the service's profile, in milliseconds.
 const DEADLINE_MS: u64 = 2_000;
 
-/// The entry hosts, and as many servers of the service.
+/// Number of entry hosts, and of servers of the service.
 const HOSTS: usize = 3;
 
-/// The time for processes that were ended to let go of their addresses.
+/// Time for stopped processes to release their addresses before the next deployment starts.
 const ADDRESS_RELEASE: Duration = Duration::from_millis(500);
 
-/// The time after the last answer in which a wrong run would still show.
+/// Time after the last answer during which a duplicate or refused call could still be executed.
 const SETTLE: Duration = Duration::from_secs(4);
 
-/// The bound on transactions a call.
+/// Upper bound on write transactions of the store per call, under load with batched claims.
 const MAX_WRITES_PER_CALL: f64 = 0.5;
 
-/// How the experiment runs.
+/// Options of the `calls` experiment.
 #[derive(Clone, Debug, Bpaf)]
 pub(crate) struct Options {
-    /// The seed of the faults and of the keys that are repeated.
+    /// Seed of the faults and of the keys that are sent to two routers at once.
     #[bpaf(long, argument("N"), fallback(1))]
     seed: u64,
-    /// How many keys are called under faults.
+    /// Number of idempotency keys called under faults.
     #[bpaf(long, argument("N"), fallback(1_200))]
     keys: usize,
-    /// How many calls a second are made under load.
+    /// Calls per second under load.
     #[bpaf(long, argument("N"), fallback(500))]
     rate: u64,
-    /// How long the load lasts, in seconds.
+    /// Duration of the load, in seconds.
     #[bpaf(long, argument("N"), fallback(6))]
     seconds: u64,
     /// Print the report as JSON only.
@@ -75,18 +78,18 @@
     progress("starting 3 entry hosts and 3 servers of a plain service");
     let plan = plan(Claims::default(), &metrics);
     let mut fleet = Fleet::start(&programs, &plan).await?;
-    progress("calling while the store is up, then while it is down");
+    progress("measuring availability with the store up, then down");
     let availability = measure_availability(&fleet).await?;
     progress("calling under faults");
     let under_faults = run_under_faults(&mut fleet, &options).await?;
     drop(fleet);
     sleep(ADDRESS_RELEASE).await;
-    progress("calling under load, with batches of claims");
+    progress("calling under load, with batched claims");
     let fleet = Fleet::start(&programs, &plan).await?;
     let batched = load::run(&fleet, &metrics, "batched", options.rate, options.seconds).await?;
     drop(fleet);
     sleep(ADDRESS_RELEASE).await;
-    progress("calling under load, each claim by itself");
+    progress("calling under load, one claim per transaction");
     let single = Claims {
         delay_ms: 0,
         size: 1,
@@ -124,7 +127,8 @@
     Ok(is_within)
 }
 
-/// Whether the report keeps the bounds.
+/// Whether the report satisfies all bounds: no duplicate execution, no false `not_run`, no answer
+/// to another call, no caller without any answer, and few enough writes per call.
 fn is_within_bounds(report: &Value) -> bool {
     let zero_counts = ["false_not_run", "crossed", "untold"];
     report["runs_max"] == 1
@@ -134,7 +138,7 @@
             .is_some_and(|w| w < MAX_WRITES_PER_CALL)
 }
 
-/// Calls with the store up and down, without other faults.
+/// Measures the share of answered calls with the store up and down, without other faults.
 async fn measure_availability(fleet: &Fleet) -> Result<Value, BenchError> {
     let up = answered_share(fleet, "up", true).await;
     let outage = |on| Switch {
@@ -150,9 +154,9 @@
     Ok(json!({ "up": up, "down": { "given_key": given, "minted_key": minted } }))
 }
 
-/// The share of calls that are answered.
+/// Makes calls without retries and returns the share that is answered.
 async fn answered_share(fleet: &Fleet, name: &str, has_key: bool) -> f64 {
-    /// The calls of one measurement.
+    /// Number of calls in one measurement.
     const CALLS: usize = 200;
     let call = |i: usize| Call {
         key: has_key.then(|| format!("{name}-{i}")),
@@ -170,7 +174,7 @@
     answered as f64 / CALLS as f64
 }
 
-/// Calls under faults, and what became of each key.
+/// Makes calls under injected faults and counts the executions of each key.
 async fn run_under_faults(fleet: &mut Fleet, options: &Options) -> Result<Value, BenchError> {
     let calls = faults::calls(fleet, options.keys, options.seed);
     let callers = tokio::spawn(faults::call_all(calls.clone()));
@@ -179,7 +183,7 @@
     sleep(SETTLE).await;
     let mut runs: Sorted<String, u64> = Sorted::default();
     for server in &fleet.plain {
-        // A server that never ran a call has written no file.
+        // A server that never executed a call has written no file.
         let text = std::fs::read_to_string(&server.runs).unwrap_or_default();
         for key in text.lines() {
             *runs.entry(key.to_owned(), || 0) += 1;
@@ -188,7 +192,7 @@
     Ok(count_results(&calls, &results, &runs, injected))
 }
 
-/// Counts what must not be, and what was.
+/// Counts outcomes, executions and violations.
 fn count_results(
     calls: &[Call],
     results: &[CallResult],
@@ -226,7 +230,8 @@
     })
 }
 
-/// The deployment: two data centres, the table's rates of today.
+/// A deployment in two data centres, with the store's current rate limits, which are the stand-in's
+/// defaults.
 fn plan(claims: Claims, metrics: &load::Metrics) -> Plan {
     let near = DataCentre::from("vn-south-a");
     let far = DataCentre::from("vn-south-b");
@@ -259,7 +264,7 @@
         .unwrap_or_else(|_| unreachable!("the other fields have defaults"))
 }
 
-/// The commit of the working tree, if it can be told.
+/// Short hash of the checked-out commit, or `unknown` if git cannot be started.
 async fn commit() -> String {
     let mut command = Command::new("git");
     command.args([
--- a/crates/gooseberry-bench/src/calls/caller.rs
+++ b/crates/gooseberry-bench/src/calls/caller.rs
@@ -1,4 +1,5 @@
-//! A caller of a plain service that repeats its call with its key while that helps.
+//! A caller of a plain service that retries with the same idempotency key until the outcome is
+//! known.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,66 +13,66 @@
 
 use super::{BEARER, DEADLINE_MS, SERVICE};
 
-/// The longest wait of a caller; beyond the deadline it allows for a paused router.
+/// Time limit of one submission; 1.5 s above the deadline to allow for a paused router.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(DEADLINE_MS + 1_500);
 
-/// The wait before a caller comes back.
+/// Delay before a retry.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// One call that may not repeat.
+/// One call to a non-idempotent service.
 #[derive(Clone, Debug)]
 pub(crate) struct Call {
-    /// The key; without one the router makes it.
+    /// Idempotency key; if `None`, the router generates one.
     pub(crate) key: Option<String>,
-    /// What the call says; no two keys say the same.
+    /// Text of the request body; unique per key, so that answers can be matched to calls.
     pub(crate) text: String,
-    /// The entry hosts.
+    /// Caller addresses of the entry hosts, used in turn.
     pub(crate) hosts: Vec<SocketAddr>,
-    /// The host to begin with.
+    /// Index in `hosts` of the first submission, modulo the number of hosts.
     pub(crate) first_host: usize,
-    /// How often the call is repeated at most.
+    /// Maximum number of retries after the first submission.
     pub(crate) max_retries: usize,
 }
 
-/// What came of one submission.
+/// The outcome of one submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Submission {
-    /// The whole answer to this call.
+    /// The complete answer to this call.
     Answered,
-    /// An answer to another call.
+    /// An answer that belongs to another call.
     Crossed,
-    /// It was not run and never will be.
+    /// The router reports that the call was not executed and never will be.
     NotRun,
-    /// It may have run; a repeat may tell.
+    /// The call may have been executed; a retry may return the outcome.
     Unknown,
-    /// It may have run; a repeat will not tell.
+    /// The call may have been executed, and a retry will not return the outcome.
     Unresolvable,
-    /// No answer at all: the router died, was paused, or takes no connections.
+    /// No usable answer: the router failed, is paused, or refuses connections.
     NoAnswer,
 }
 
-/// All that a caller saw.
+/// The submissions of one call.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CallResult {
-    /// What came of each submission, in order.
+    /// Outcome of each submission, in order.
     pub(crate) submissions: Vec<Submission>,
 }
 
-/// What a caller knows in the end.
+/// The final outcome of a call, as known to its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Outcome {
-    /// It has its answer.
+    /// The answer was received.
     Answered,
-    /// It knows that the call was not run.
+    /// The call was reported as not executed.
     NotRun,
-    /// It was told that this is not known.
+    /// Whether the call was executed is reported as unknown.
     Unknown,
-    /// It was told nothing.
+    /// No submission got a usable answer.
     NoAnswer,
 }
 
 impl CallResult {
-    /// What the caller knows in the end.
+    /// The most definite outcome among the submissions.
     pub(crate) fn outcome(&self) -> Outcome {
         let has = |submission: Submission| self.submissions.contains(&submission);
         if has(Submission::Answered) {
@@ -87,7 +88,7 @@
 }
 
 impl Call {
-    /// Calls, and repeats the call while that may tell more.
+    /// Submits the call, and retries while a retry may still return the outcome.
     pub(crate) async fn run(&self) -> CallResult {
         let mut result = CallResult::default();
         for i in 0..=self.max_retries {
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Whether an answer is the one to this call.
+    /// Checks by key and body that a success is the answer to this call.
     fn check_answer(&self, bytes: &[u8], body: &str) -> Submission {
         let Ok(receipt) = serde_json::from_slice::<Receipt>(bytes) else {
             return Submission::Crossed;
@@ -142,7 +143,7 @@
     }
 }
 
-/// What an error says.
+/// Classifies an error body; `can_retry` is set if the response had a `Retry-After` header.
 fn classify_error(body: &str, can_retry: bool) -> Submission {
     let error: Value = serde_json::from_str(body).unwrap_or_default();
     match error["ran"].as_str() {
--- a/crates/gooseberry-bench/src/calls/faults.rs
+++ b/crates/gooseberry-bench/src/calls/faults.rs
@@ -1,4 +1,4 @@
-//! Faults at random moments while keys are called, some of them on several routers at once.
+//! Injects random process and store faults during calls, some of which go to two routers at once.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,19 +18,19 @@
 use crate::harness::BenchError;
 use crate::harness::fleet::{CALL, Fleet};
 
-/// The time between two callers.
+/// Time between the starts of two callers.
 const CALL_INTERVAL: Duration = Duration::from_millis(12);
 
-/// The time between the end of one fault and the next of its kind.
+/// Time between the end of one process fault and the next, and likewise for store faults.
 const FAULT_INTERVAL: Duration = Duration::from_millis(400);
 
-/// One key in so many is called on two routers at once.
+/// One key in this many, on average, is sent to two routers at once.
 const DUPLICATE_ONE_IN: u32 = 4;
 
-/// How often a caller repeats its call.
+/// Maximum number of retries per call.
 const MAX_RETRIES: usize = 3;
 
-/// A fault of a process.
+/// A fault of a router or server process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, EnumIter)]
 #[strum(serialize_all = "snake_case")]
 enum ProcessFault {
@@ -50,7 +50,8 @@
     AnswersLost,
 }
 
-/// The calls, with those of one key that go to two routers next to each other.
+/// Builds the calls of all keys; two calls that share a key are adjacent and start at different
+/// hosts.
 pub(crate) fn calls(fleet: &Fleet, keys: usize, seed: u64) -> Vec<Call> {
     let mut random = StdRng::seed_from_u64(seed);
     let mut calls = Vec::new();
@@ -73,7 +74,7 @@
     calls
 }
 
-/// Runs all callers, one after another at a fixed pace.
+/// Runs all calls concurrently, started at a fixed interval.
 pub(crate) async fn call_all(calls: Vec<Call>) -> Vec<CallResult> {
     let one = |(i, call): (usize, Call)| async move {
         sleep(CALL_INTERVAL * u32::try_from(i).unwrap_or(u32::MAX)).await;
@@ -82,8 +83,8 @@
     join_all(calls.into_iter().enumerate().map(one)).await
 }
 
-/// Brings about faults of processes and of the store at the same time, until all callers have
-/// ended; returns how many of each there were.
+/// Injects process and store faults concurrently until all callers have finished; returns the count
+/// of each kind of fault.
 pub(crate) async fn inject(
     fleet: &mut Fleet,
     seed: u64,
@@ -98,7 +99,7 @@
     Ok(all.map(|(name, count)| (name, json!(count))).collect())
 }
 
-/// The kinds of faults in a new order each time, and how many of each there were.
+/// Draws faults in shuffled rounds, so that each kind occurs about equally often, and counts them.
 struct FaultSchedule<F> {
     random: StdRng,
     kinds: Vec<F>,
@@ -116,7 +117,7 @@
         }
     }
 
-    /// The next fault and how long it lasts.
+    /// The next fault and its duration.
     fn next(&mut self) -> Option<(F, Duration)> {
         if self.remaining.is_empty() {
             self.remaining.clone_from(&self.kinds);
@@ -150,7 +151,7 @@
     Ok(schedule.counts)
 }
 
-/// Brings about one fault of a process and ends it.
+/// Injects one process fault and ends it after `duration`, or twice that for a pause.
 async fn process_fault(
     fleet: &mut Fleet,
     fault: ProcessFault,
@@ -166,7 +167,7 @@
         }
         ProcessFault::RouterPaused => {
             fleet.hosts[target].router.freeze();
-            // Past the deadline of some calls, within that of others.
+            // Up to 3 s, so that a pause outlasts the deadline of some calls but not of others.
             sleep(duration * 2).await;
             fleet.hosts[target].router.thaw();
         }
@@ -186,7 +187,7 @@
                 die_after: Some(1),
                 ..Switch::default()
             };
-            // A server that was just restarted may not listen yet.
+            // A server that was just restarted may not be listening yet.
             let _ = fleet
                 .switch(fleet.plain[target].addr, &exit_after_run)
                 .await;
@@ -214,7 +215,8 @@
         };
         let (begin, end) = match fault {
             StoreFault::StoreDown => (outage(true), outage(false)),
-            // Around the time limit of a router's call, so that some writes take effect unseen.
+            // Delays around the time limit of a router's store call, so that some writes are
+            // applied after the router has timed out.
             StoreFault::StoreSlow => (delay(delay_ms), delay(0)),
             StoreFault::AnswersLost => (lose_answers(lost_answers), lose_answers(0)),
         };
--- a/crates/gooseberry-bench/src/calls/load.rs
+++ b/crates/gooseberry-bench/src/calls/load.rs
@@ -1,4 +1,4 @@
-//! A steady load of calls, the transactions that they cost and the time that their claims take.
+//! Calls at a constant rate; measures store transactions per call and the latency of claims.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -15,30 +15,30 @@
 use crate::harness::BenchError;
 use crate::harness::fleet::{CALL, Fleet};
 
-/// What the name of the metric with the time of a claim ends with.
+/// Suffix of the statsd metric with the latency of a claim, as it appears in a packet.
 const CLAIM_METRIC: &str = "claims.claim:";
 
-/// The largest time that is told apart, in milliseconds.
+/// Largest latency that the histogram resolves, in milliseconds.
 const MAX_MS: u64 = 60_000;
 
-/// The significant digits that are kept.
+/// Significant digits of the histogram.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// The time for the last outcomes to be stored.
+/// Time for routers to store the last outcomes before the writes are counted.
 const SETTLE: Duration = Duration::from_millis(500);
 
-/// The metrics that routers send.
+/// A statsd listener that collects the latencies of claims from routers.
 pub(crate) struct Metrics {
-    /// Where they send them.
+    /// UDP address to which routers send metrics.
     pub(crate) addr: SocketAddr,
     claims: Arc<Mutex<Vec<u64>>>,
 }
 
 impl Metrics {
-    /// Listens until the experiment ends.
+    /// Binds a UDP socket and receives metrics until the process ends.
     pub(crate) async fn listen() -> Result<Self, BenchError> {
         let failed = |cause| BenchError::Start {
-            program: "the listener for metrics".to_owned(),
+            program: "the statsd listener".to_owned(),
             cause,
         };
         let socket = UdpSocket::bind("127.0.0.1:0").await.map_err(failed)?;
@@ -59,19 +59,20 @@
         Ok(Self { addr, claims })
     }
 
-    /// Takes the times of claims that have come in.
+    /// Returns the latencies received since the last call, in milliseconds.
     fn take(&self) -> Vec<u64> {
         std::mem::take(&mut self.claims.lock().unwrap_or_else(|e| e.into_inner()))
     }
 }
 
-/// The time in a line such as `gooseberry.router.claims.claim:12|ms|#host:entry-0`.
+/// Parses the milliseconds from a line such as
+/// `gooseberry.router.claims.claim:12|ms|#host:entry-0`.
 fn claim_time(line: &str) -> Option<u64> {
     let (_, value) = line.split_once(CLAIM_METRIC)?;
     value.split('|').next()?.parse().ok()
 }
 
-/// Makes calls at a fixed rate, each with a key of its own.
+/// Makes calls at a constant rate, each with a unique key; `name` prefixes the keys.
 pub(crate) async fn run(
     fleet: &Fleet,
     metrics: &Metrics,
@@ -121,7 +122,7 @@
     Ok(web::client::get(fleet.platform_addr, "/stats", CALL).await?)
 }
 
-/// The quantiles of times in milliseconds.
+/// Summarises latencies in milliseconds; times above [`MAX_MS`] count as that.
 fn quantiles(times: &[u64]) -> Value {
     let Ok(mut histogram) = Histogram::<u64>::new_with_max(MAX_MS, SIGNIFICANT_DIGITS) else {
         return Value::Null;
--- a/crates/gooseberry-bench/src/config.rs
+++ b/crates/gooseberry-bench/src/config.rs
@@ -1,7 +1,7 @@
-//! `config`: changes of the configuration reach every reachable agent, and what that costs.
+//! `config`: measures how configuration changes propagate to all reachable agents, and the cost.
 //!
-//! For each way of spreading, the same agents are started, changed at a steady rate and in bursts,
-//! killed, frozen and cut from the platform.
+//! For each distribution topology it starts the same number of agents, proposes changes at a steady
+//! rate and in bursts, kills and freezes agents, and cuts some of them off from the platform.
 
 mod agents;
 mod changes;
@@ -23,61 +23,68 @@
 use changes::Operators;
 use usage::Usage;
 
-/// The time between two changes at the steady rate.
+/// Time between two changes at the steady rate.
 const STEADY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The changes of a burst.
+/// Number of changes in a burst.
 const BURST_CHANGES: usize = 20;
 
-/// The longest that a frozen agent stays so.
+/// Minimum time for which the watcher stays frozen.
 const FREEZE_DURATION: Duration = Duration::from_secs(4);
 
-/// The time for the last change to arrive everywhere, and for a part without changes.
+/// Time for the last change to reach all agents; also the length of the idle measurement.
 const SETTLE: Duration = Duration::from_secs(5);
 
-/// The bounds that the users have set.
+/// Bound on the time from sending a change until it is in force at all reachable agents.
 const MAX_IN_FORCE_MS: f64 = 4_000.0;
+
+/// Bound on the bytes sent and received per second by any agent.
 const MAX_BYTES_S: f64 = 11_000.0;
+
+/// Bound on the share of one core used by any agent.
 const MAX_CPU_SHARE: f64 = 0.04;
+
+/// Bound on the resident memory of any agent, in MiB.
 const MAX_MEMORY_MB: f64 = 256.0;
 
-/// How the experiment runs.
+/// Options of the `config` experiment.
 #[derive(Clone, Debug, Bpaf)]
 pub(crate) struct Options {
-    /// How many agents there are.
+    /// Number of agents, one per host.
     #[bpaf(long("nodes"), argument("N"), fallback(34))]
     agents: usize,
-    /// Over how many data centres they are spread.
+    /// Number of data centres over which the agents are distributed.
     #[bpaf(long, argument("N"), fallback(1))]
     centres: usize,
-    /// The seed of what is changed, killed and frozen.
+    /// Seed of the choice of changes and of the agents that are killed.
     #[bpaf(long, argument("N"), fallback(1))]
     seed: u64,
-    /// How many steady changes there are in each part of a run.
+    /// Number of changes at the steady rate in each phase of a run; half as many in the last one.
     #[bpaf(long, argument("N"), fallback(6))]
     changes: usize,
-    /// One way of spreading only: poll, flat or tree.
-    #[bpaf(long, argument("WAY"), optional)]
-    way: Option<Topology>,
+    /// Run only one distribution topology: poll, flat or tree.
+    #[bpaf(long("way"), argument("WAY"), optional)]
+    topology: Option<Topology>,
     /// Print the report as JSON only.
     json: bool,
 }
 
-/// Runs the experiment; returns whether the default way keeps all bounds.
+/// Runs the experiment; returns whether the default topology, or the one given, satisfies all
+/// bounds.
 pub(crate) async fn run(options: Options) -> Result<bool, BenchError> {
     let programs = build::programs().await?;
-    let ways = match options.way {
-        Some(way) => vec![way],
+    let topologies = match options.topology {
+        Some(topology) => vec![topology],
         None => vec![Topology::Poll, Topology::Flat, Topology::Tree],
     };
     let mut reports = Vec::new();
     let mut is_within = true;
-    for way in ways {
+    for topology in topologies {
         if !options.json {
-            println!("{way}: {} agents", options.agents);
+            println!("{topology}: {} agents", options.agents);
         }
-        let report = run_way(&programs, &options, way).await?;
-        if way == options.way.unwrap_or_default() {
+        let report = run_topology(&programs, &options, topology).await?;
+        if topology == options.topology.unwrap_or_default() {
             is_within = report["within_bounds"] == true;
         }
         reports.push(report);
@@ -96,13 +103,13 @@
     Ok(is_within)
 }
 
-async fn run_way(
+async fn run_topology(
     programs: &std::path::Path,
     options: &Options,
-    way: Topology,
+    topology: Topology,
 ) -> Result<Value, BenchError> {
     let mut random = StdRng::seed_from_u64(options.seed);
-    let mut agents = Agents::start(programs, options.agents, options.centres, way).await?;
+    let mut agents = Agents::start(programs, options.agents, options.centres, topology).await?;
     let mut operators = Operators::default();
 
     let before = Usage::read(&agents).await;
@@ -149,7 +156,7 @@
         && steady.cpu_share.max <= MAX_CPU_SHARE
         && steady.memory_mb.max <= MAX_MEMORY_MB;
     Ok(json!({
-        "way": way,
+        "way": topology,
         "accepted": operators.accepted.len(),
         "conflicts": operators.conflicts,
         "unavailable": operators.unavailable,
@@ -164,7 +171,7 @@
     }))
 }
 
-/// The commit of the working tree, if it is known.
+/// `git describe` of the current directory, or `unknown` if git cannot be started.
 fn commit() -> String {
     let output = std::process::Command::new("git")
         .args(["describe", "--always", "--dirty"])
--- a/crates/gooseberry-bench/src/config/agents.rs
+++ b/crates/gooseberry-bench/src/config/agents.rs
@@ -25,36 +25,39 @@
 use crate::harness::child::{Child, write_settings};
 use crate::harness::fleet::CALL;
 
-/// The operators' key.
+/// Bearer key of the operators.
 pub(crate) const OPERATOR_KEY: &str = "operator-key";
 
-/// The workspaces of the configuration, as many as the users expect.
+/// Number of workspaces in the configuration, as many as deployments are expected to have.
 pub(crate) const WORKSPACES: usize = 490;
 
-/// The longest wait for all agents to be ready.
+/// Time limit for all agents to become ready, and for the platform to accept the first
+/// configuration.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// One agent that is killed in so many.
+/// One agent in this many is killed, the watcher included.
 const KILL_ONE_IN: usize = 10;
 
-/// One agent that is cut from the platform in so many, where there is one data centre.
+/// With one data centre, one agent in this many connects through the relay that can be cut; with
+/// several, all agents of the first one do.
 const CUT_ONE_IN: usize = 4;
 
-/// The time between looks.
+/// Interval between readiness checks, and between attempts at the first configuration.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// An agent.
+/// An agent process and the times at which it was unreachable.
 pub(crate) struct Agent {
     pub(crate) name: String,
     pub(crate) admin: SocketAddr,
     pub(crate) process: Child,
-    /// When it was not reachable, in milliseconds of Unix time.
+    /// Periods (start, end) in which it was killed or frozen, in milliseconds of Unix time; an open
+    /// period ends at `u64::MAX`.
     pub(crate) unreachable: Vec<(u64, u64)>,
     pub(crate) is_up: bool,
     file: PathBuf,
 }
 
-/// All agents, with their platform.
+/// All agents and their platform.
 pub(crate) struct Agents {
     pub(crate) all: Vec<Agent>,
     pub(crate) platform: Platform,
@@ -66,30 +69,33 @@
 
 impl Drop for Agents {
     fn drop(&mut self) {
-        // What is left behind in the temporary folder harms nobody.
+        // A failure is ignored: a leftover temporary folder does no harm.
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
 impl Agents {
-    /// Starts the platform, with a configuration of many workspaces, and all agents.
+    /// Starts the platform, commits a configuration of [`WORKSPACES`] workspaces, and starts all
+    /// agents.
     pub(crate) async fn start(
         programs: &Path,
         count: usize,
         centres: usize,
-        way: Topology,
+        topology: Topology,
     ) -> Result<Self, BenchError> {
-        let folder =
-            std::env::temp_dir().join(format!("gooseberry-config-{}-{way}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!(
+            "gooseberry-config-{}-{topology}",
+            std::process::id()
+        ));
         let failed = |cause| BenchError::File {
             file: folder.clone(),
             cause,
         };
         std::fs::create_dir_all(&folder).map_err(failed)?;
-        let addr = address(way, 250, 7020);
+        let addr = address(topology, 250, 7020);
         let standin = standin::Settings {
             listen: addr,
-            hosts: (0..count).map(|i| host(i, centres, way)).collect(),
+            hosts: (0..count).map(|i| host(i, centres, topology)).collect(),
             ..standin::Settings::default()
         };
         let file = folder.join("platform.json");
@@ -100,7 +106,7 @@
             platform: Platform { addr, limit: CALL },
             programs: programs.to_owned(),
             folder,
-            relay: Relay::start(address(way, 251, 7020), addr).await,
+            relay: Relay::start(address(topology, 251, 7020), addr).await,
             _store: store,
         };
         agents.put_document().await?;
@@ -110,14 +116,14 @@
             } else {
                 i % CUT_ONE_IN == 0
             };
-            let settings = settings(i, centres, way, is_cut);
+            let settings = settings(i, centres, topology, is_cut);
             agents.start_one(&settings)?;
         }
         agents.wait_ready().await?;
         Ok(agents)
     }
 
-    /// Kills some agents, one of them a watcher; returns which.
+    /// Kills one watcher and some randomly chosen agents; returns their indices.
     pub(crate) fn kill_some(&mut self, random: &mut StdRng) -> Vec<usize> {
         let mut killed = vec![self.watchers()[0]];
         for _ in 1..self.all.len() / KILL_ONE_IN {
@@ -134,7 +140,7 @@
         killed
     }
 
-    /// Freezes the watcher that is left, if there is one.
+    /// Freezes a watcher that is still running; returns its index, or `None` if there is none.
     pub(crate) fn freeze_watcher(&mut self) -> Option<usize> {
         let i = self.watchers().into_iter().find(|i| self.all[*i].is_up)?;
         let agent = &mut self.all[i];
@@ -144,7 +150,7 @@
         Some(i)
     }
 
-    /// Lets a frozen agent go on, at the earliest `after` its freeze.
+    /// Resumes the frozen agent once it has been frozen for at least `after`.
     pub(crate) async fn thaw(&mut self, frozen: Option<usize>, after: Duration) {
         let Some(i) = frozen else { return };
         let agent = &mut self.all[i];
@@ -160,23 +166,25 @@
         }
     }
 
-    /// Starts a killed agent again and waits until it is ready.
+    /// Restarts a killed agent and waits until all running agents are ready.
     pub(crate) async fn restart(&mut self, i: usize) -> Result<(), BenchError> {
         let agent = &mut self.all[i];
         agent.process = Child::start(&self.programs, "gooseberry-agent", &[], &agent.file)?;
         agent.is_up = true;
         self.wait_ready().await?;
-        // What it adopted in its former life is gone with it.
+        // The list of adoptions of the previous incarnation is lost, so changes sent before the
+        // restart cannot be checked on this agent.
         self.all[i].unreachable = vec![(0, now_ms())];
         Ok(())
     }
 
-    /// Cuts some agents from the platform, or brings them back.
+    /// Cuts the agents behind the relay off from the platform, or reconnects them.
     pub(crate) fn cut(&self, is_cut: bool) {
         self.relay.cut(is_cut);
     }
 
-    /// The agents that watch the platform when all are live, in the first data centre.
+    /// Indices of the agents that watch the platform while all agents are alive, by the flat
+    /// topology over all of them.
     fn watchers(&self) -> Vec<usize> {
         let names: Vec<&str> = self.all.iter().map(|a| a.name.as_str()).collect();
         let is_watcher = |i: &usize| role(Topology::Flat, names[*i], &names) == Role::Watch;
@@ -234,7 +242,7 @@
     }
 }
 
-/// A change of the workspace `i`.
+/// A change that sets the share of workspace `i`.
 pub(crate) fn change(i: usize, share: u32) -> Change {
     Change::PutWorkspace(workspace(i, share))
 }
@@ -248,26 +256,26 @@
     }
 }
 
-fn settings(i: usize, centres: usize, way: Topology, is_cut: bool) -> Settings {
+fn settings(i: usize, centres: usize, topology: Topology, is_cut: bool) -> Settings {
     let value = json!({
         "host": format!("entry-{i}"),
         "data_centre": centre(i, centres),
-        "listen": { "peers": address(way, i, 7004), "admin": address(way, i, 7005) },
-        "platform": address(way, if is_cut { 251 } else { 250 }, 7020),
-        "spread": way,
+        "listen": { "peers": address(topology, i, 7004), "admin": address(topology, i, 7005) },
+        "platform": address(topology, if is_cut { 251 } else { 250 }, 7020),
+        "spread": topology,
         "operator_digest": key_digest(OPERATOR_KEY),
     });
     serde_json::from_value(value)
         .unwrap_or_else(|_| unreachable!("the settings' other fields have defaults"))
 }
 
-fn host(i: usize, centres: usize, way: Topology) -> Host {
+fn host(i: usize, centres: usize, topology: Topology) -> Host {
     Host {
         name: format!("entry-{i}"),
         data_centre: centre(i, centres),
         kind: HostKind::Entry {
-            router: address(way, i, 7002),
-            agent: address(way, i, 7004),
+            router: address(topology, i, 7002),
+            agent: address(topology, i, 7004),
         },
         leaving: false,
     }
@@ -277,10 +285,12 @@
     DataCentre(format!("centre-{}", i % centres))
 }
 
-/// A loopback address of this run; runs at the same time have addresses of their own.
-fn address(way: Topology, i: usize, port: u16) -> SocketAddr {
-    // The processes of the way before may not have ended yet.
-    let run = std::process::id() * 3 + way as u32;
+/// A loopback address derived from the process id and the topology, so that concurrent runs do not
+/// collide.
+fn address(topology: Topology, i: usize, port: u16) -> SocketAddr {
+    // The processes of the previous topology may still be exiting, so each topology has its own
+    // addresses.
+    let run = std::process::id() * 3 + topology as u32;
     let octet = |n: u32| u8::try_from(n).unwrap_or(u8::MAX);
     let last = u8::try_from(i + 1).unwrap_or(u8::MAX);
     SocketAddr::from((
--- a/crates/gooseberry-bench/src/config/changes.rs
+++ b/crates/gooseberry-bench/src/config/changes.rs
@@ -1,4 +1,4 @@
-//! The operators of the experiment: they change one workspace at a time.
+//! Simulated operators, who propose changes of one workspace each.
 
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -13,12 +13,13 @@
 
 use super::agents::{Agents, OPERATOR_KEY, WORKSPACES, change};
 
-/// The longest wait for the answer to a proposal.
+/// Time limit for the answer to a proposal.
 const APPLY_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// An accepted change.
+/// A change of one workspace that was or will be proposed.
 #[derive(Clone, Debug)]
 pub(crate) struct ProposedChange {
+    /// Before acceptance the base version of the proposal, afterwards the version that it created.
     pub(crate) version: Version,
     pub(crate) operation: OperationId,
     pub(crate) workspace: usize,
@@ -27,27 +28,29 @@
     pub(crate) sent_ms: u64,
 }
 
-/// What the operators did.
+/// The operators, the changes that were accepted, and counts of all other outcomes.
 #[derive(Debug, Default)]
 pub(crate) struct Operators {
     pub(crate) accepted: Vec<ProposedChange>,
     pub(crate) conflicts: u64,
-    /// Proposals to agents that could not reach the platform; nothing was sent for these.
+    /// Proposals to agents that could not reach the platform and therefore sent nothing to it.
     pub(crate) unavailable: u64,
-    /// Proposals that were refused for another reason, or have no known outcome.
+    /// Proposals that were refused for a reason other than a conflict, or whose outcome is unknown.
     pub(crate) failed: u64,
+    /// The highest version reported in answers; the base of the next proposal.
     head: u64,
+    /// Number of changes drawn so far.
     count: u32,
 }
 
-/// How one proposal ended.
+/// A proposal and its outcome; `None` if there was no valid answer.
 struct ProposalResult {
     proposed: ProposedChange,
     outcome: Option<Outcome>,
 }
 
 impl Operators {
-    /// Makes `count` changes, one each `period`.
+    /// Proposes `count` changes, one per `period`.
     pub(crate) async fn steady(
         &mut self,
         agents: &Agents,
@@ -65,7 +68,8 @@
         sleep_until(start + period * u32::try_from(count).unwrap_or(0)).await;
     }
 
-    /// Two operators propose at once, through two agents.
+    /// Proposes two changes concurrently on the same base version, through two agents drawn at
+    /// random.
     pub(crate) async fn race(&mut self, agents: &Agents, random: &mut StdRng) {
         let (one, two) = (self.draw_change(random), self.draw_change(random));
         let (first, second) = (pick_agent(agents, random), pick_agent(agents, random));
@@ -80,7 +84,7 @@
             version: Version(self.head.max(1)),
             operation: OperationId(format!("change-{}", self.count)),
             workspace: random.random_range(0..WORKSPACES),
-            // Each change differs from all before it.
+            // Unique, so that the state of an agent shows which change it holds.
             share: self.count + 1,
             sent_ms: now_ms(),
         }
@@ -107,7 +111,7 @@
     }
 }
 
-/// Sends a proposal based on the version that `tried` names.
+/// Proposes a change on top of `proposed.version`.
 async fn send(addr: SocketAddr, proposed: ProposedChange) -> ProposalResult {
     let proposal = Proposal {
         base: proposed.version,
@@ -137,7 +141,7 @@
     }
 }
 
-/// An agent that is up.
+/// The admin address of a random agent that is running.
 fn pick_agent(agents: &Agents, random: &mut StdRng) -> SocketAddr {
     let up: Vec<SocketAddr> = agents
         .all
@@ -148,7 +152,7 @@
     up[random.random_range(0..up.len())]
 }
 
-/// The time, in milliseconds of Unix time; all processes run on one machine.
+/// Unix time in milliseconds; comparable across processes, since all run on one host.
 pub(crate) fn now_ms() -> u64 {
     let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
     elapsed.map_or(0, |e| u64::try_from(e.as_millis()).unwrap_or(0))
--- a/crates/gooseberry-bench/src/config/judge.rs
+++ b/crates/gooseberry-bench/src/config/judge.rs
@@ -1,4 +1,4 @@
-//! Whether accepted changes came into force everywhere and stayed.
+//! Checks that accepted changes came into force at all reachable agents and were not reverted.
 
 use std::time::Duration;
 
@@ -13,26 +13,29 @@
 use crate::harness::fleet::CALL;
 use crate::harness::report::{Times, times};
 
-/// An agent that goes away this long after a change was sent should have had it.
+/// Time within which a change should reach an agent: an agent that becomes unreachable later than
+/// this after a change was sent must have adopted the change.
 const PROPAGATION_LIMIT_MS: u64 = 4_000;
 
-/// The verdict on a run.
+/// Violations and propagation delays of a run.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Verdict {
-    /// Accepted changes that the platform does not hold under their version.
+    /// Accepted changes that the platform does not store under their version.
     pub(crate) lost: u64,
-    /// Agents that fell to a lower version, or whose document lacks an accepted change.
+    /// Agents that adopted a lower version after a higher one, or whose document lacks an accepted
+    /// change.
     pub(crate) reverted: u64,
-    /// Changes that a reachable agent never had.
+    /// Pairs of a change and a reachable agent that never adopted it.
     pub(crate) behind: u64,
-    /// From sending a change until it is in force, over all reachable agents.
+    /// Time from sending a change until it is in force at an agent, over all reachable agents.
     pub(crate) in_force_ms: Times,
 }
 
-/// The parts of an agent's state that count.
+/// The checked parts of an agent's state dump.
 #[derive(Debug, Deserialize)]
 struct State {
     view: View,
+    /// Versions in the order of adoption, each with its Unix time in milliseconds.
     adoptions: Vec<(Version, u64)>,
 }
 
@@ -41,7 +44,7 @@
     document: Option<Document>,
 }
 
-/// Judges a run at its end.
+/// Checks the final state of the platform and of all agents.
 pub(crate) async fn judge(agents: &Agents, operators: &Operators) -> Result<Verdict, BenchError> {
     let mut verdict = Verdict::default();
     for accepted in &operators.accepted {
@@ -72,7 +75,8 @@
     Ok(verdict)
 }
 
-/// Whether versions only rose and the last document holds what was accepted last.
+/// Whether versions only increased and the current document holds the last accepted share of each
+/// workspace.
 fn is_consistent(state: &State, accepted: &[ProposedChange]) -> bool {
     let is_rising = state.adoptions.windows(2).all(|w| w[0].0 < w[1].0);
     let Some(document) = &state.view.document else {
@@ -93,11 +97,13 @@
     is_rising && expected.iter().enumerate().all(has)
 }
 
-/// When an agent had a change.
+/// How a change reached an agent.
 enum Propagation {
+    /// It came into force this long after it was sent.
     InForce(Duration),
+    /// The agent was reachable and never adopted it.
     Missing,
-    /// It was not reachable.
+    /// The agent was unreachable while it should have adopted the change.
     Unreachable,
 }
 
--- a/crates/gooseberry-bench/src/config/relay.rs
+++ b/crates/gooseberry-bench/src/config/relay.rs
@@ -1,4 +1,4 @@
-//! A relay to the platform that can be cut.
+//! A TCP relay to the platform that can be cut, to simulate a partition.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,10 +9,10 @@
 use tokio::task::{JoinHandle, JoinSet};
 use tokio::time::sleep;
 
-/// The time between looks at whether the relay is cut.
+/// Interval at which the relay checks whether it has been cut and must close its connections.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A relay; it ends with its value.
+/// A relay, which stops when dropped.
 #[derive(Debug)]
 pub(crate) struct Relay {
     is_cut: Arc<AtomicBool>,
@@ -26,7 +26,8 @@
 }
 
 impl Relay {
-    /// Starts a relay that listens at `from`; without that address nobody is relayed.
+    /// Starts a relay from `listen` to `target`; if the address cannot be bound, nothing is
+    /// relayed.
     pub(crate) async fn start(listen: SocketAddr, target: SocketAddr) -> Self {
         let is_cut = Arc::new(AtomicBool::new(false));
         let cut = is_cut.clone();
@@ -38,7 +39,7 @@
         Self { is_cut, task }
     }
 
-    /// Breaks all connections and takes no more, or takes them again.
+    /// With `true`, closes all connections and drops new ones; with `false`, relays again.
     pub(crate) fn cut(&self, is_cut: bool) {
         self.is_cut.store(is_cut, Ordering::Relaxed);
     }
--- a/crates/gooseberry-bench/src/config/usage.rs
+++ b/crates/gooseberry-bench/src/config/usage.rs
@@ -1,4 +1,4 @@
-//! What the agents and the platform spend.
+//! Network, processor and memory usage of the agents, and their load on the platform.
 
 use std::time::Duration;
 
@@ -11,50 +11,53 @@
 use crate::harness::fleet::CALL;
 use crate::harness::usage;
 
-/// The bytes in a megabyte of memory.
+/// Bytes per MiB.
 const MIB: f64 = 1_048_576.0;
 
-/// What was spent up to some time.
+/// Cumulative usage up to a point in time.
 pub(crate) struct Usage {
     at: Instant,
     by_agent: Vec<AgentUsage>,
+    /// Reads counted by the platform.
     reads: f64,
+    /// Writes counted by the platform.
     writes: f64,
 }
 
-/// What one agent has spent.
+/// Cumulative traffic and processor time of one agent, and its current memory.
 #[derive(Clone, Copy, Default)]
 struct AgentUsage {
+    /// Bytes sent and received.
     bytes: f64,
     cpu: Duration,
     /// In bytes.
     memory: u64,
 }
 
-/// Over all agents.
+/// Mean and maximum over all agents.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub(crate) struct MeanMax {
     pub(crate) mean: f64,
     pub(crate) max: f64,
 }
 
-/// What was spent in a span of time, a node.
+/// Usage rates over a period, per agent unless stated otherwise.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub(crate) struct UsageRate {
-    /// Bytes sent and received a second.
+    /// Bytes sent and received per second.
     pub(crate) bytes_s: MeanMax,
-    /// The share of one core.
+    /// Share of one core.
     pub(crate) cpu_share: MeanMax,
-    /// Resident memory in megabytes.
+    /// Resident memory at the end of the period, in MiB.
     pub(crate) memory_mb: MeanMax,
-    /// Reads of the platform a second, by all agents.
+    /// Reads of the platform per second, by all agents together.
     pub(crate) reads_s: f64,
-    /// Writes to the platform a second, by all agents.
+    /// Writes to the platform per second, by all agents together.
     pub(crate) writes_s: f64,
 }
 
 impl Usage {
-    /// Reads what all agents have spent so far.
+    /// Reads the cumulative usage of all agents; an agent that does not answer counts 0 bytes.
     pub(crate) async fn read(agents: &Agents) -> Self {
         let at = Instant::now();
         let stats = stats(&agents.platform).await;
@@ -79,18 +82,18 @@
         }
     }
 
-    /// What was spent since `before`.
+    /// The usage rates from `before` to `self`.
     pub(crate) fn since(&self, before: &Self) -> UsageRate {
-        let span = (self.at - before.at).as_secs_f64();
+        let seconds = (self.at - before.at).as_secs_f64();
         let pairs = || self.by_agent.iter().zip(&before.by_agent);
         UsageRate {
-            bytes_s: mean_max(pairs().map(|(a, b)| (a.bytes - b.bytes) / span)),
+            bytes_s: mean_max(pairs().map(|(a, b)| (a.bytes - b.bytes) / seconds)),
             cpu_share: mean_max(
-                pairs().map(|(a, b)| a.cpu.saturating_sub(b.cpu).as_secs_f64() / span),
+                pairs().map(|(a, b)| a.cpu.saturating_sub(b.cpu).as_secs_f64() / seconds),
             ),
             memory_mb: mean_max(self.by_agent.iter().map(|n| n.memory as f64 / MIB)),
-            reads_s: (self.reads - before.reads) / span,
-            writes_s: (self.writes - before.writes) / span,
+            reads_s: (self.reads - before.reads) / seconds,
+            writes_s: (self.writes - before.writes) / seconds,
         }
     }
 }
--- a/crates/gooseberry-bench/src/demo.rs
+++ b/crates/gooseberry-bench/src/demo.rs
@@ -1,4 +1,4 @@
-//! `demo`: an engine is killed in the middle of generations; every answer is whole.
+//! `demo`: kills an engine during generation and checks that every answer is complete and exact.
 
 use std::time::Duration;
 
@@ -16,38 +16,38 @@
 use crate::harness::report::{Times, times};
 use crate::harness::{BenchError, build};
 
-/// The bearer key of the demo's workspace.
+/// Bearer key of the demo's workspace.
 pub(crate) const BEARER: &str = "demo-key";
 
-/// The entry hosts.
+/// Number of entry hosts.
 const HOSTS: usize = 2;
 
-/// The engines.
+/// Number of engines.
 const ENGINES: usize = 3;
 
-/// The time from the first request to the kill.
+/// Time from the first request to the kill, and from the kill to the state dump.
 const KILL_DELAY: Duration = Duration::from_millis(700);
 
-/// A silence of this length around the kill shows that a stream was hit by it.
+/// A gap between tokens that spans the kill and exceeds this marks a stream as interrupted by it.
 const MIN_GAP: Duration = Duration::from_millis(25);
 
-/// The longest that one answer may take.
+/// Time limit of one answer, retries included.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How the demo runs.
+/// Options of the `demo` experiment.
 #[derive(Clone, Debug, Bpaf)]
 pub(crate) struct Options {
-    /// How many streams are opened.
+    /// Number of streams to open.
     #[bpaf(long, argument("N"), fallback(30))]
     streams: usize,
-    /// How many tokens each stream asks for.
+    /// Maximum number of tokens per stream.
     #[bpaf(long, argument("N"), fallback(200))]
     tokens: u64,
     /// Print the report as JSON only.
     json: bool,
 }
 
-/// Runs the demo; returns whether every answer was whole.
+/// Runs the demo; returns whether every answer was complete and exact.
 pub(crate) async fn run(options: Options) -> Result<bool, BenchError> {
     let progress = |text: &str| {
         if !options.json {
@@ -56,10 +56,10 @@
     };
     progress("building the programs");
     let programs = build::programs().await?;
-    progress("starting a platform, 2 entry hosts and 3 engines");
+    progress("starting the platform, 2 entry hosts and 3 engines");
     let mut fleet = Fleet::start(&programs, &plan(HOSTS, ENGINES)).await?;
     progress(&format!(
-        "opening {} streams through both hosts",
+        "opening {} streams through both entry hosts",
         options.streams
     ));
     let requests = requests(&fleet, &options);
@@ -71,7 +71,7 @@
     sleep(KILL_DELAY).await;
     let resumed = resumed_streams(&fleet.state(0).await?);
     progress(&format!(
-        "host 0 shows {resumed} streams on their second attempt"
+        "entry host 0 reports {resumed} streams with more than one attempt"
     ));
     let seen = running.await.unwrap_or_default();
     let report = report(&requests, &seen, killed, resumed);
@@ -83,7 +83,7 @@
         println!(
             "{}",
             if is_exact {
-                "every answer is whole"
+                "every answer is complete and exact"
             } else {
                 "FAILED"
             }
@@ -92,7 +92,7 @@
     Ok(is_exact)
 }
 
-/// Entry hosts and engines in one data centre.
+/// A deployment with all entry hosts and engines in one data centre.
 pub(crate) fn plan(hosts: usize, engines: usize) -> Plan {
     let here = DataCentre::from("vn-south-a");
     Plan {
@@ -106,7 +106,7 @@
     }
 }
 
-/// One service, one profile, one workspace.
+/// A configuration with one service, one profile and one workspace.
 pub(crate) fn document() -> Document {
     let model = engine::Settings::default().models;
     let profile: Profile = serde_json::from_value(json!({ "name": "drafts" }))
@@ -151,7 +151,7 @@
     join_all(requests.iter().map(Ask::run)).await
 }
 
-/// How many requests of a state dump have more than one attempt.
+/// Counts the requests in a router's state dump that have more than one attempt.
 fn resumed_streams(state: &Value) -> usize {
     let requests = state["requests"].as_array();
     let is_resumed = |r: &&Value| {
@@ -182,7 +182,7 @@
     })
 }
 
-/// The time from the kill to the next token, if the stream was hit by it.
+/// Time from the kill to the next token; `None` if the kill did not interrupt the stream.
 fn resume_time(seen: &Seen, killed: Instant) -> Option<Duration> {
     let i = seen.arrivals.iter().position(|(at, _)| *at > killed)?;
     let after = seen.arrivals[i].0;
--- a/crates/gooseberry-bench/src/drain.rs
+++ b/crates/gooseberry-bench/src/drain.rs
@@ -1,5 +1,7 @@
-//! `drain`: every entry host and a third of the engines are replaced in turn while answers are under
-//! way; no request may be cut, and what leaves may get no new work.
+//! `drain`: replaces a third of the engines and then every entry host in turn, while streams are in
+//! flight.
+//!
+//! No request may be cut, and a draining server must stop getting new work within a bound.
 
 mod callers;
 
@@ -20,46 +22,49 @@
 use crate::harness::{BenchError, build};
 use callers::Callers;
 
-/// How often the state of processes is looked at.
+/// Interval at which the state of processes is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The time before the first host leaves.
+/// Time under load before the first engine leaves; also the minimum time for which a leaving engine
+/// is observed.
 const WARM_UP: Duration = Duration::from_secs(2);
 
-/// The longest wait for a host that leaves.
+/// Time limit for a host or an engine to leave, and for an engine to be in use again.
 const LEAVE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How long an engine that leaves goes on before it stops, whether or not its streams have ended.
+/// Time from the end of the observation until a leaving engine is killed, whether or not its
+/// streams have ended.
 const STOP_DELAY: Duration = Duration::from_millis(1_500);
 
-/// The most time in which a server that leaves may get new work, in milliseconds.
+/// Time after the announcement within which a leaving server may still get new work, in
+/// milliseconds.
 const MAX_NEW_WORK_MS: u128 = 3_000;
 
-/// How the experiment runs.
+/// Options of the `drain` experiment.
 #[derive(Clone, Debug, Bpaf)]
 pub(crate) struct Options {
-    /// The seed from which requests are drawn.
+    /// Seed of the requests.
     #[bpaf(long, argument("N"), fallback(1))]
     seed: u64,
-    /// How many requests are in flight.
+    /// Number of concurrent streams.
     #[bpaf(long, argument("N"), fallback(60))]
     streams: usize,
     /// Print the report as JSON only.
     json: bool,
 }
 
-/// What came of one engine that left.
+/// Measurements of one engine that was drained and replaced.
 #[derive(Clone, Copy, Debug, Default)]
 struct EngineDrain {
-    /// From the first word of it to the last new work.
+    /// Time from the announcement to the last new work.
     new_work: Duration,
-    /// From the first word of it to when every router knew.
+    /// Time from the announcement until every router reports that the engine is leaving.
     known: Duration,
-    /// The streams that were still there when it stopped.
+    /// Streams still running when it was killed; these move to other engines.
     moved: u64,
 }
 
-/// Runs the experiment; returns whether nothing was cut and all bounds were kept.
+/// Runs the experiment; returns whether no request was cut and all bounds are satisfied.
 pub(crate) async fn run(options: Options) -> Result<bool, BenchError> {
     let programs = build::programs().await?;
     let plan = plan();
@@ -104,7 +109,7 @@
         println!(
             "{}",
             if is_within {
-                "nobody was cut off"
+                "all answers are exact, no request was cut, and all bounds are satisfied"
             } else {
                 "FAILED"
             }
@@ -127,9 +132,10 @@
     }
 }
 
-/// Has an engine leave, stops it and starts another at its address.
+/// Drains an engine, kills it and starts another at its address.
 ///
-/// Of every other engine only the host list says that it leaves; of the rest only its reports.
+/// Engines of even index are announced as leaving only by the host list, the others only by their
+/// own load reports.
 async fn replace_engine(
     fleet: &mut Fleet,
     plan: &Plan,
@@ -148,7 +154,8 @@
     }
     let mut drain_times = watch_leaving(fleet, i, started).await?;
     if !is_listed {
-        // The engine refuses new work by itself, so that only what routers believe shows.
+        // This engine refuses new work by itself, so its stream count shows nothing: new work is
+        // bounded by when the routers know.
         drain_times.new_work = drain_times.known;
     }
     sleep(STOP_DELAY).await;
@@ -163,7 +170,8 @@
     Ok(drain_times)
 }
 
-/// Watches an engine that leaves until every router knows, and for as long again as it may take.
+/// Observes a leaving engine until every router reports it as leaving, and then at least as long
+/// again plus [`WARM_UP`], so that late new work is seen.
 async fn watch_leaving(
     fleet: &Fleet,
     i: usize,
@@ -191,7 +199,7 @@
     Ok(drain_times)
 }
 
-/// Waits until every router uses an engine again.
+/// Waits until every router reports an engine as alive and not leaving.
 async fn wait_in_use(fleet: &Fleet, i: usize) -> Result<(), BenchError> {
     let deadline = Instant::now() + LEAVE_TIMEOUT;
     let name = fleet.engines[i].name.clone();
@@ -204,7 +212,8 @@
     Ok(())
 }
 
-/// Whether every router believes that an engine leaves, or that it is alive and does not.
+/// Whether every router reports an engine as leaving or, for `leaving = false`, as alive and not
+/// leaving.
 async fn all_routers_report(fleet: &Fleet, name: &str, leaving: bool) -> Result<bool, BenchError> {
     for host in 0..fleet.hosts.len() {
         let state = fleet.state(host).await?;
@@ -221,8 +230,8 @@
     Ok(true)
 }
 
-/// Stops a host in order, by signal or by an operator's call, and starts it again; returns whether
-/// both processes ended with success.
+/// Stops a host gracefully, by signal (even index) or by an operator's drain call, and restarts it;
+/// returns whether both processes exited with success in time.
 async fn replace_host(fleet: &mut Fleet, i: usize) -> Result<bool, BenchError> {
     let host = &mut fleet.hosts[i];
     if i.is_multiple_of(2) {
@@ -237,7 +246,7 @@
     Ok(router == Ok(true) && agent == Ok(true))
 }
 
-/// Asks for a drain as an operator.
+/// Requests a drain with the operator's key.
 async fn drain(admin: std::net::SocketAddr) -> Result<(), BenchError> {
     let mut request = web::client::json_request(admin, Method::POST, "/v1/drain", &());
     if let Ok(key) = format!("Bearer {OPERATOR}").parse() {
--- a/crates/gooseberry-bench/src/drain/callers.rs
+++ b/crates/gooseberry-bench/src/drain/callers.rs
@@ -1,4 +1,4 @@
-//! Callers behind a balancer that leaves out hosts that are not ready.
+//! Callers behind a simulated load balancer that skips hosts that are not ready.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -16,32 +16,32 @@
 use crate::harness::caller::{Ask, Verdict};
 use crate::harness::fleet::{CALL, Fleet};
 
-/// The time between two looks of the balancer at a host.
+/// Interval of the load balancer's readiness checks.
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The longest that one answer may take.
+/// Time limit of one answer, retries included.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The fewest and the most tokens of an answer.
+/// Minimum and maximum of the token limit of a request.
 const TOKEN_RANGE: (u64, u64) = (20, 400);
 
-/// What became of all answers.
+/// Counts of requests and their outcomes.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub(crate) struct Tally {
-    /// The answers asked for.
+    /// Requests, each counted once however often it was retried.
     pub(crate) requests: u64,
-    /// Those that are whole.
+    /// Requests with a complete and exact answer.
     pub(crate) exact: u64,
-    /// Connections that broke before the end of an answer.
+    /// Connections that closed before the end of an answer.
     pub(crate) cut: u64,
-    /// Requests refused before they ran, and asked again.
+    /// Submissions that were refused before execution, and retried.
     pub(crate) refused: u64,
-    /// Answers that began anew.
+    /// Answers that were restarted from the beginning.
     pub(crate) restarted: u64,
 }
 
 impl Tally {
-    /// Whether there were answers and each is whole.
+    /// Whether there was at least one request and every answer is complete and exact.
     pub(crate) fn is_exact(&self) -> bool {
         self.requests > 0 && self.requests == self.exact
     }
@@ -55,10 +55,10 @@
     }
 }
 
-/// The hosts that are ready.
+/// Caller addresses of the hosts that are ready.
 type ReadyHosts = Arc<Mutex<Vec<SocketAddr>>>;
 
-/// Callers that ask without pause.
+/// Callers that each send one request after the other without pause.
 #[derive(Debug)]
 pub(crate) struct Callers {
     stop: CancellationToken,
@@ -67,7 +67,7 @@
 }
 
 impl Callers {
-    /// Starts so many callers.
+    /// Starts `count` callers and the load balancer.
     pub(crate) fn start(fleet: &Fleet, seed: u64, count: usize) -> Self {
         let hosts: Vec<_> = fleet.hosts.iter().map(|h| (h.callers, h.admin)).collect();
         let ready: ReadyHosts = Arc::new(Mutex::new(hosts.iter().map(|h| h.0).collect()));
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Lets the requests in flight end and sums up.
+    /// Waits for the requests in flight and returns the totals.
     pub(crate) async fn finish(mut self) -> Tally {
         self.stop.cancel();
         let mut tally = Tally::default();
@@ -97,7 +97,7 @@
     }
 }
 
-/// Keeps the list of ready hosts.
+/// Keeps the list of ready hosts up to date.
 async fn poll_readiness(hosts: Vec<(SocketAddr, SocketAddr)>, ready: ReadyHosts) {
     loop {
         let mut found = Vec::new();
@@ -112,7 +112,7 @@
     }
 }
 
-/// Asks one thing after the other.
+/// Sends one request after the other until `stop` is cancelled.
 async fn run_caller(
     caller: usize,
     mut random: StdRng,
--- a/crates/gooseberry-bench/src/load.rs
+++ b/crates/gooseberry-bench/src/load.rs
@@ -1,4 +1,5 @@
-//! `load`: both deployments under rising load, against simple rules of choice.
+//! `load`: runs both deployments under increasing load and compares the combined load-balancing
+//! rule with simple baseline rules.
 
 pub(crate) mod caller;
 mod plan;
@@ -14,39 +15,39 @@
 use plan::Deployment;
 use step::Step;
 
-/// The loads in percent of what the engines carry with warm caches.
+/// Offered loads in percent of the capacity of the engines with warm caches.
 const LOADS: [u64; 5] = [30, 70, 100, 150, 200];
 
-/// The loads of the baselines; the last one is compared.
+/// Offered loads under each baseline rule, in percent; only the last step is compared.
 const BASELINE_LOADS: [u64; 2] = [30, 70];
 
-/// The rules that serve as baselines.
+/// Load-balancing rules used as baselines.
 const BASELINES: [balance::Rule; 3] = [
     balance::Rule::RoundRobin,
     balance::Rule::Random,
     balance::Rule::LeastInFlight,
 ];
 
-/// The least goodput at twice the capacity, as a part of the best step.
+/// Minimum goodput at twice the capacity, as a fraction of that of the best step.
 const MIN_GOODPUT: f64 = 0.9;
 
-/// The least Jain index over workspaces that ask for more than their share.
+/// Minimum Jain fairness index over the workspaces that request more than their share.
 const MIN_FAIRNESS: f64 = 0.95;
 
-/// How the load is made.
+/// Options of the `load` experiment.
 #[derive(Clone, Debug, Bpaf)]
 pub(crate) struct Options {
-    /// The seed of arrivals and prompts.
+    /// Seed of arrivals and prompts.
     #[bpaf(long, argument("N"), fallback(1))]
     seed: u64,
-    /// The seconds of each step.
+    /// Duration of each step in seconds.
     #[bpaf(long, argument("S"), fallback(7))]
     seconds: u64,
     /// Print the report as JSON only.
     json: bool,
 }
 
-/// Whether each bound is kept.
+/// Whether each bound is satisfied.
 #[derive(Clone, Copy, Debug, Serialize)]
 struct BoundResults {
     goodput: bool,
@@ -56,7 +57,7 @@
     prefix_hits: bool,
 }
 
-/// Runs the experiment; returns whether all bounds are kept.
+/// Runs the experiment; returns whether all bounds are satisfied.
 pub(crate) async fn run(options: Options) -> Result<bool, BenchError> {
     let programs = build::programs().await?;
     let mut is_within = true;
@@ -75,10 +76,13 @@
             let ran = run_rule(&programs, &deployment, rule, &BASELINE_LOADS, &options).await?;
             baselines.extend(ran.into_iter().last().map(|step| (rule, step)));
         }
-        let kept = judge(&steps, &baselines);
-        is_within &=
-            kept.goodput && kept.late && kept.fairness && kept.ttft_p95 && kept.prefix_hits;
-        deployments.push(report(&deployment, &steps, &baselines, kept));
+        let bounds = judge(&steps, &baselines);
+        is_within &= bounds.goodput
+            && bounds.late
+            && bounds.fairness
+            && bounds.ttft_p95
+            && bounds.prefix_hits;
+        deployments.push(report(&deployment, &steps, &baselines, bounds));
     }
     let report = json!({
         "seed": options.seed,
@@ -92,7 +96,7 @@
         println!(
             "{}",
             if is_within {
-                "all bounds are kept"
+                "all bounds are satisfied"
             } else {
                 "FAILED"
             }
@@ -101,7 +105,7 @@
     Ok(is_within)
 }
 
-/// Runs steps under one rule, with processes and caches of their own.
+/// Runs all steps under one rule on a new deployment, so that no caches carry over between rules.
 async fn run_rule(
     programs: &std::path::Path,
     deployment: &Deployment,
@@ -142,7 +146,7 @@
     }
 }
 
-/// Whether a step is better than that of every baseline.
+/// Whether a step is better than the steps of all baselines; `false` if there is no such step.
 fn beats_all(
     own: Option<&Step>,
     baselines: &[(balance::Rule, Step)],
@@ -155,7 +159,7 @@
     deployment: &Deployment,
     steps: &[Step],
     baselines: &[(balance::Rule, Step)],
-    kept: BoundResults,
+    bounds: BoundResults,
 ) -> Value {
     let baselines: Vec<Value> = baselines
         .iter()
@@ -169,6 +173,6 @@
         "capacity_rps": deployment.capacity(),
         "steps": steps,
         "baselines": baselines,
-        "kept": kept,
+        "kept": bounds,
     })
 }
--- a/crates/gooseberry-bench/src/load/caller.rs
+++ b/crates/gooseberry-bench/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! One request of an open load: asked once, never repeated.
+//! One request of an open-loop load, sent once without retries.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,53 +14,52 @@
 use tokio::time::{Instant, timeout};
 use web::client::CallError;
 
-/// The longest wait for the head of an answer.
+/// Time limit for the response headers.
 const HEADERS_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The longest silence in an answer.
+/// Time limit between two events of an answer.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What one request is.
+/// One streaming completion request.
 #[derive(Clone, Debug)]
 pub(crate) struct LoadRequest {
-    /// The entry host.
+    /// Caller address of the entry host.
     pub(crate) host: SocketAddr,
-    /// The bearer key.
+    /// Bearer key of the workspace.
     pub(crate) bearer: String,
-    /// The service.
+    /// Name of the service, sent as the model.
     pub(crate) service: String,
-    /// The prompt.
     pub(crate) prompt: String,
-    /// The most tokens.
+    /// Maximum number of tokens of the answer.
     pub(crate) max_tokens: u64,
 }
 
-/// How a request ended.
+/// The outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Outcome {
-    /// The whole answer came.
+    /// The complete and exact answer was received.
     Served,
-    /// Refused as not run, with a time to come back.
+    /// Refused as not executed, with a `Retry-After` header.
     Shed,
-    /// Anything else.
+    /// Any other outcome: no answer, an incomplete or wrong one, or another error.
     Failed,
 }
 
-/// What came of a request.
+/// The outcome and timing of a request.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestResult {
-    /// When it was sent.
+    /// When the request was sent.
     pub(crate) sent: Instant,
-    /// When tokens came, and how many.
+    /// Arrival time and number of tokens of each event that carried tokens.
     pub(crate) arrivals: Vec<(Instant, u64)>,
-    /// How it ended.
+    /// How the request ended.
     pub(crate) outcome: Outcome,
-    /// When it ended.
+    /// When the request ended.
     pub(crate) ended: Instant,
 }
 
 impl LoadRequest {
-    /// Sends the request and reads the answer.
+    /// Sends the request and reads the whole answer.
     pub(crate) async fn run(&self) -> RequestResult {
         let sent = Instant::now();
         let mut arrivals = Vec::new();
@@ -73,7 +72,8 @@
         }
     }
 
-    /// Reads the answer; `note` is told of each number of tokens as it comes.
+    /// Sends the request and reads the answer, appending to `arrivals`; `on_tokens` is called with
+    /// the token count of each event as it arrives.
     pub(crate) async fn read(
         &self,
         arrivals: &mut Vec<(Instant, u64)>,
@@ -110,7 +110,7 @@
         Outcome::Failed
     }
 
-    /// Whether a text is the whole answer.
+    /// Checks that a text has the expected tokens and length.
     fn check_text(&self, text: &str) -> Outcome {
         let (length, _) = sequence::length(&self.prompt, self.max_tokens);
         match sequence::check(&self.prompt, text) {
@@ -135,7 +135,7 @@
     }
 }
 
-/// Whether an error says that the request was not run, and when to come back.
+/// Classifies an error response: shed if it says `not_run` and has a `Retry-After` header.
 fn classify_refusal(has_retry_after: bool, error: Option<CallError>) -> Outcome {
     let Some(CallError::Status { body, .. }) = error else {
         return Outcome::Failed;
--- a/crates/gooseberry-bench/src/load/plan.rs
+++ b/crates/gooseberry-bench/src/load/plan.rs
@@ -1,4 +1,4 @@
-//! The two deployments and their workspaces.
+//! The simulated deployments and their workspaces.
 
 use base::hash::key_digest;
 use base::prelude::*;
@@ -8,60 +8,60 @@
 
 use crate::harness::fleet::{PlainPlan, Plan};
 
-/// The entry hosts of a deployment.
+/// Number of entry hosts per deployment.
 const HOSTS: usize = 8;
 
-/// The streams that one engine generates at once.
+/// Concurrent streams per engine.
 const SLOTS: usize = 8;
 
-/// The time between tokens, in milliseconds.
+/// Time between tokens, in milliseconds.
 const GAP_MS: u64 = 40;
 
-/// The time to a first token without prefill, in milliseconds.
+/// Time to the first token without prefill, in milliseconds.
 const FIRST_MS: u64 = 20;
 
-/// The time that one uncached token of the prompt takes, in microseconds.
+/// Prefill time per uncached prompt token, in microseconds.
 const PREFILL_US: u64 = 200;
 
-/// The blocks in an engine's prefix cache: about seven script breakdowns.
+/// Capacity of an engine's prefix cache in blocks: about seven script breakdowns.
 const CACHE_BLOCKS: usize = 512;
 
-/// The most tokens of one draft.
+/// Maximum number of tokens of an answer.
 pub(super) const MAX_TOKENS: u64 = 50;
 
-/// The mean length of a draft as a part of [`TOKENS`]: one in four ends at three quarters.
+/// Mean length of an answer as a fraction of [`MAX_TOKENS`]: one in four ends at three quarters.
 const MEAN_LENGTH: f64 = 0.9375;
 
-/// The longest to the first token, in milliseconds.
+/// Deadline of the first token, in milliseconds.
 pub(super) const DEADLINE_MS: u64 = 3_000;
 
-/// A workspace and its part of the offered load.
+/// A workspace and its fraction of the offered load.
 #[derive(Clone, Debug)]
 pub(super) struct WorkspaceLoad {
-    /// The name, which is also its bearer key.
+    /// Name of the workspace, also used as its bearer key.
     pub(super) name: String,
-    /// Its weight.
+    /// Fair-share weight in the configuration.
     pub(super) share: u32,
-    /// Its part of the requests, in thousandths.
+    /// Fraction of the requests, in thousandths.
     pub(super) per_mille: u64,
 }
 
-/// One deployment.
+/// The size and layout of one deployment.
 #[derive(Clone, Debug)]
 pub(super) struct Deployment {
-    /// The name.
+    /// Name in the report.
     pub(super) name: &'static str,
-    /// The service.
+    /// Name of the model service.
     pub(super) service: &'static str,
-    /// The data centre of each entry host.
+    /// Data centre of each entry host.
     pub(super) hosts: Vec<DataCentre>,
-    /// The data centre of each engine.
+    /// Data centre of each engine.
     pub(super) engines: Vec<DataCentre>,
-    /// The workspaces.
+    /// All workspaces; their thousandths add up to 1,000.
     pub(super) workspaces: Vec<WorkspaceLoad>,
 }
 
-/// Both deployments at their sizes of today.
+/// Both deployments, at their current sizes.
 pub(super) fn deployments() -> [Deployment; 2] {
     [
         deployment(
@@ -99,7 +99,7 @@
     }
 }
 
-/// Three large workspaces, one of them greedy, among seven small ones.
+/// Three large and seven small workspaces; the largest requests far more than its share.
 fn workspaces() -> Vec<WorkspaceLoad> {
     let large = [380, 230, 180];
     let small = [30; 7];
@@ -112,13 +112,13 @@
 }
 
 impl Deployment {
-    /// The requests a second that the engines carry when all prefixes are cached.
+    /// Requests per second that the engines can serve when all prefixes are cached.
     pub(super) fn capacity(&self) -> f64 {
         let hold_ms = FIRST_MS as f64 + MAX_TOKENS as f64 * MEAN_LENGTH * GAP_MS as f64;
         (self.engines.len() * SLOTS) as f64 * 1_000.0 / hold_ms
     }
 
-    /// The processes to start.
+    /// The processes to start for this deployment.
     pub(super) fn plan(&self, document: Document) -> Plan {
         Plan {
             hosts: self.hosts.clone(),
@@ -138,7 +138,7 @@
         }
     }
 
-    /// The configuration under one rule of choice.
+    /// The configuration with `rule` as the load-balancing rule.
     pub(super) fn document(&self, rule: balance::Rule) -> Document {
         let profile: Profile = serde_json::from_value(json!({
             "name": "drafts",
--- a/crates/gooseberry-bench/src/load/step.rs
+++ b/crates/gooseberry-bench/src/load/step.rs
@@ -1,4 +1,4 @@
-//! One step of constant load and what it showed.
+//! One step of constant load and its measurements.
 
 use std::time::Duration;
 
@@ -15,54 +15,55 @@
 use crate::harness::fleet::Fleet;
 use crate::harness::report::{Times, times};
 
-/// The script breakdowns of one workspace.
+/// Number of script breakdowns per workspace.
 const SCRIPTS: usize = 2;
 
-/// The bytes of a script breakdown, which many prompts share.
+/// Size of a script breakdown in bytes; it is the common prefix of many prompts.
 const SCRIPT_BYTES: usize = 4_096;
 
-/// The time from the start of a step after which tokens are counted.
+/// Time from the start of a step during which tokens are not counted.
 const WARM_UP: Duration = Duration::from_secs(3);
 
-/// What a step showed.
+/// The measurements of a step.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Step {
-    /// The offered load in percent of the capacity.
+    /// Offered load in percent of the capacity.
     pub(super) load: u64,
-    /// The requests sent.
+    /// Requests sent.
     pub(super) offered: u64,
-    /// Those with a whole answer.
+    /// Requests with a complete answer.
     pub(super) served: u64,
-    /// Those refused as not run.
+    /// Requests refused as not executed.
     pub(super) shed: u64,
-    /// All others.
+    /// All other requests.
     pub(super) failed: u64,
-    /// The time to the first token.
+    /// Time to the first token, of served requests.
     pub(super) ttft_ms: Times,
-    /// The time between tokens.
+    /// Time between events with tokens, of served requests.
     pub(super) gap_ms: Times,
-    /// The time to a refusal.
+    /// Time to a refusal.
     pub(super) shed_ms: Times,
-    /// Jain's index over the workspaces that ask for more than their share; 1 if none does.
+    /// Jain's fairness index over the workspaces that request more than their share; 1 if none
+    /// does.
     pub(super) fairness: f64,
-    /// The part of prompt tokens found in the engines' caches.
+    /// Fraction of prompt tokens found in the engines' prefix caches.
     pub(super) prefix_hits: f64,
-    /// The answers whose first token came after the deadline.
+    /// Served requests whose first token came after the deadline.
     pub(super) late: u64,
-    /// The tokens a second of answers in time.
+    /// Tokens per second of served requests that met the deadline, after the warm-up.
     pub(super) goodput: f64,
-    /// The engine streams beyond one for each answer.
+    /// Streams opened at engines in excess of one per served request.
     pub(super) extra_streams: i64,
 }
 
-/// One request to be sent at its time.
+/// A request, with the time from the start of the step at which to send it.
 struct Arrival {
     at: Duration,
     workspace: usize,
     request: LoadRequest,
 }
 
-/// Offers one load for some seconds and waits for all answers.
+/// Offers a load, in percent of the capacity, for the given time and waits for all answers.
 pub(super) async fn run(
     fleet: &Fleet,
     deployment: &Deployment,
@@ -70,8 +71,8 @@
     seed: u64,
     seconds: u64,
 ) -> Result<Step, BenchError> {
-    let span = Duration::from_secs(seconds);
-    let arrivals = arrivals(fleet, deployment, load, seed, span);
+    let duration = Duration::from_secs(seconds);
+    let arrivals = arrivals(fleet, deployment, load, seed, duration);
     let workspaces: Vec<usize> = arrivals.iter().map(|a| a.workspace).collect();
     let before = stats(fleet).await?;
     let start = Instant::now();
@@ -91,18 +92,18 @@
         deployment,
         load,
         &results,
-        start..start + span,
+        start..start + duration,
         (before, after),
     ))
 }
 
-/// Random arrivals at a constant rate, at random hosts.
+/// Draws Poisson arrivals at a constant rate, at random hosts.
 fn arrivals(
     fleet: &Fleet,
     deployment: &Deployment,
     load: u64,
     seed: u64,
-    span: Duration,
+    duration: Duration,
 ) -> Vec<Arrival> {
     let mut random = StdRng::seed_from_u64(seed ^ (load << 32));
     let rate = deployment.capacity() * load as f64 / 100.0;
@@ -111,7 +112,7 @@
     loop {
         let unit: f64 = random.random_range(f64::EPSILON..1.0);
         at += Duration::from_secs_f64(-unit.ln() / rate);
-        if at >= span {
+        if at >= duration {
             return all;
         }
         let workspace = draw_workspace(deployment, random.random_range(0..1_000));
@@ -134,7 +135,7 @@
     }
 }
 
-/// The workspace of a number below 1,000.
+/// The index of the workspace to which a number below 1,000 falls, by their thousandths.
 fn draw_workspace(deployment: &Deployment, number: u64) -> usize {
     let mut sum = 0;
     let is_drawn = |per_mille: u64| {
@@ -149,7 +150,7 @@
     found.unwrap_or(0)
 }
 
-/// A script breakdown shared by many prompts, and one scene.
+/// A prompt that consists of a shared script breakdown and one scene.
 fn prompt(workspace: &str, script: usize, scene: u64) -> String {
     let line = format!("{workspace}, script {script}: interior, night, two cast, one vehicle. ");
     let mut text = line.repeat(SCRIPT_BYTES / line.len() + 1);
@@ -157,7 +158,7 @@
     text + &format!("Draft the schedule of scene {scene:016x}.")
 }
 
-/// What all engines have done.
+/// Sums the prefill, cache and stream counters of all engines.
 async fn stats(fleet: &Fleet) -> Result<Stats, BenchError> {
     let mut sum = Stats::default();
     for i in 0..fleet.engines.len() {
@@ -212,13 +213,14 @@
     }
 }
 
-/// The times between events with tokens.
+/// Times between consecutive events with tokens.
 fn gaps(result: &RequestResult) -> Vec<Duration> {
     let pairs = result.arrivals.windows(2);
     pairs.map(|pair| pair[1].0 - pair[0].0).collect()
 }
 
-/// Jain's index of tokens by share over the workspaces that ask for more than their share.
+/// Jain's fairness index of tokens per share, over the workspaces that request more than their
+/// share and had requests shed.
 fn fairness(
     deployment: &Deployment,
     results: &[(usize, RequestResult)],
--- a/crates/gooseberry-bench/src/main.rs
+++ b/crates/gooseberry-bench/src/main.rs
@@ -1,11 +1,11 @@
-//! `gooseberry-bench`: experiments with real processes on loopback addresses.
+//! `gooseberry-bench`: experiments and benchmarks with real processes on loopback addresses.
 
 mod calls;
 mod config;
 mod demo;
 mod drain;
 mod faults;
-#[expect(dead_code, reason = "later experiments use what these do not")]
+#[expect(dead_code, reason = "some helpers are not used by any experiment")]
 mod harness;
 mod load;
 mod overhead;
@@ -17,45 +17,45 @@
 
 use bpaf::Bpaf;
 
-/// Experiments with real processes on loopback addresses; each ends what it starts.
+/// Experiments with real processes on loopback addresses. Each stops the processes that it starts.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 enum Command {
-    /// Call a plain service under faults and count how often each key ran.
+    /// Call a plain service under faults and count how often each idempotency key was executed.
     #[bpaf(command)]
     Calls(#[bpaf(external(calls::options))] calls::Options),
-    /// Kill an engine in the middle of generations and show that every answer is whole.
+    /// Kill an engine during generation and check that every answer is complete and exact.
     #[bpaf(command)]
     Demo(#[bpaf(external(demo::options))] demo::Options),
-    /// Keep the demo's deployment running and print its addresses.
+    /// Run the deployment of the demo until stopped, and print its addresses.
     #[bpaf(command)]
     Up(#[bpaf(external(up::options))] up::Options),
-    /// Let engines, routers and connections fail while many answers are under way.
+    /// Inject failures of engines, routers and connections while many streams are in flight.
     #[bpaf(command)]
     Faults(#[bpaf(external(faults::options))] faults::Options),
-    /// Change the configuration under kills and partitions, and measure how it spreads.
+    /// Change the configuration under kills and partitions, and measure how fast it propagates.
     #[bpaf(command)]
     Config(#[bpaf(external(config::options))] config::Options),
-    /// Replace every entry host and a third of the engines while answers are under way.
+    /// Replace every entry host and a third of the engines while streams are in flight.
     #[bpaf(command)]
     Drain(#[bpaf(external(drain::options))] drain::Options),
-    /// Offer rising load to both deployments and compare rules of choice.
+    /// Offer increasing load to both deployments and compare load-balancing rules.
     #[bpaf(command)]
     Load(#[bpaf(external(load::options))] load::Options),
-    /// Run gateways on the users' platform under faults from outside, and check what they promise.
+    /// Run gateways on a simulated platform under injected faults, and check their guarantees.
     #[bpaf(command)]
     Soak(#[bpaf(external(soak::options))] soak::Options),
-    /// Measure what each token, request, stream and node costs.
+    /// Measure the processor time and memory per token, request, stream, engine and host.
     #[bpaf(command)]
     Slopes(#[bpaf(external(slopes::options))] slopes::Options),
-    /// Compare streams through one router with streams straight from the engines.
+    /// Compare streams through one router with streams read directly from the engines.
     #[bpaf(command)]
     Overhead(#[bpaf(external(overhead::options))] overhead::Options),
 }
 
 #[tokio::main]
 async fn main() -> ExitCode {
-    let ran = match command().run() {
+    let result = match command().run() {
         Command::Calls(options) => calls::run(options).await,
         Command::Demo(options) => demo::run(options).await,
         Command::Up(options) => up::run(options).await,
@@ -67,7 +67,7 @@
         Command::Slopes(options) => slopes::run(options).await,
         Command::Overhead(options) => overhead::run(options).await,
     };
-    match ran {
+    match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(e) => {
--- a/crates/gooseberry-bench/src/overhead.rs
+++ b/crates/gooseberry-bench/src/overhead.rs
@@ -1,4 +1,4 @@
-//! `overhead`: streams through one router and straight from the engines, side by side.
+//! `overhead`: compares streams through one router with streams read directly from the engines.
 
 use std::time::Duration;
 
@@ -17,42 +17,44 @@
 use crate::load::caller::LoadRequest;
 use crate::slopes::work::plan;
 
-/// The longest wait for an engine's acceptance.
+/// Time limit for an engine to accept a stream.
 const ACCEPT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How the overhead is measured.
+/// Options of the `overhead` experiment.
 #[derive(Clone, Debug, Bpaf)]
 pub(crate) struct Options {
-    /// How many streams run at once.
+    /// Number of concurrent streams.
     #[bpaf(long, argument("N"), fallback(100))]
     streams: usize,
-    /// How many tokens each stream asks for.
+    /// Maximum number of tokens per stream.
     #[bpaf(long, argument("N"), fallback(200))]
     tokens: u64,
     /// Print the report as JSON only.
     json: bool,
 }
 
-/// One way of reading streams.
+/// Latency, throughput and processor time of streams read directly or through the router.
 #[derive(Clone, Debug, Serialize)]
 struct PathCost {
     ttft_ms: Times,
     gap_ms: Times,
     tokens: u64,
     tokens_s: f64,
+    /// Tokens per second of processor time of all engines.
     engine_tokens_by_core_s: f64,
+    /// Tokens per second of processor time of all routers; `None` for direct streams.
     router_tokens_by_core_s: Option<f64>,
 }
 
-/// The arrivals of one stream.
+/// When a stream was requested, and the arrival time and token count of each of its events.
 type Arrivals = (Instant, Vec<(Instant, u64)>);
 
-/// Measures both ways at a calm and at a hurried pace.
+/// Measures direct and routed streams at 20 ms and at 1 ms between tokens.
 pub(crate) async fn run(options: Options) -> Result<bool, BenchError> {
     let programs = build::programs().await?;
     let mut paces = Vec::new();
     for gap_ms in [20, 1] {
-        // The witness is a second router, whose time counts for the way through the router.
+        // The second router acts as witness; its processor time counts towards the routed streams.
         let fleet = Fleet::start(&programs, &plan(2, 3, gap_ms)).await?;
         let direct = measure(&fleet, join_all(direct(&fleet, &options)), false).await;
         let routed = measure(&fleet, join_all(routed(&fleet, &options)), true).await;
@@ -67,12 +69,12 @@
     });
     println!("{report:#}");
     if !options.json {
-        println!("the router's time is that of the owner and the witness together");
+        println!("router processor time includes the owner and the witness");
     }
     Ok(true)
 }
 
-/// Runs streams and takes the processor time that they cost.
+/// Runs the streams and measures the processor time of engines and routers meanwhile.
 async fn measure(
     fleet: &Fleet,
     streams: impl Future<Output = Vec<Arrivals>>,
@@ -88,27 +90,27 @@
     };
     let (engines_before, routers_before) = (engines(), routers());
     let start = Instant::now();
-    let seen = streams.await;
-    let took = start.elapsed().as_secs_f64();
+    let arrivals = streams.await;
+    let elapsed_s = start.elapsed().as_secs_f64();
     let engine_s = (engines() - engines_before).as_secs_f64();
     let router_s = (routers() - routers_before).as_secs_f64();
-    let tokens: u64 = seen.iter().flat_map(|(_, a)| a).map(|(_, n)| n).sum();
+    let tokens: u64 = arrivals.iter().flat_map(|(_, a)| a).map(|(_, n)| n).sum();
     let first = |(sent, arrivals): &Arrivals| Some(arrivals.first()?.0 - *sent);
     let gaps = |(_, arrivals): &Arrivals| -> Vec<Duration> {
         let pairs = arrivals.windows(2);
         pairs.map(|p| p[1].0 - p[0].0).collect()
     };
     PathCost {
-        ttft_ms: times(seen.iter().filter_map(first)),
-        gap_ms: times(seen.iter().flat_map(gaps)),
+        ttft_ms: times(arrivals.iter().filter_map(first)),
+        gap_ms: times(arrivals.iter().flat_map(gaps)),
         tokens,
-        tokens_s: tokens as f64 / took,
+        tokens_s: tokens as f64 / elapsed_s,
         engine_tokens_by_core_s: tokens as f64 / engine_s,
         router_tokens_by_core_s: is_routed.then_some(tokens as f64 / router_s),
     }
 }
 
-/// Streams straight from the engines.
+/// Streams read directly from the engines.
 fn direct(fleet: &Fleet, options: &Options) -> Vec<impl Future<Output = Arrivals>> {
     let one = |i: usize| {
         let addr = fleet.engines[i % fleet.engines.len()].addr;
@@ -139,7 +141,7 @@
     (0..options.streams).map(one).collect()
 }
 
-/// The same streams through the first router.
+/// Streams with the same prompts through the first router.
 fn routed(fleet: &Fleet, options: &Options) -> Vec<impl Future<Output = Arrivals>> {
     let one = |i: usize| {
         let request = LoadRequest {
--- a/crates/gooseberry-bench/src/slopes.rs
+++ b/crates/gooseberry-bench/src/slopes.rs
@@ -1,4 +1,5 @@
-//! `slopes`: what each unit of work costs a router and an agent, each at three sizes.
+//! `slopes`: measures the cost of each unit of work for routers and agents, by a linear fit over
+//! three sizes.
 
 pub(crate) mod work;
 
@@ -15,44 +16,45 @@
 use crate::harness::{BenchError, build, usage};
 use work::{Batch, plan};
 
-/// The streams of the runs that vary the tokens.
+/// Number of streams in the runs that vary the number of tokens.
 const STREAM_COUNT: usize = 60;
 
-/// The lengths of the outputs, in tokens.
+/// Output lengths in tokens.
 const OUTPUT_LENGTHS: [u64; 3] = [50, 200, 400];
 
-/// The numbers of requests with a single token.
+/// Numbers of requests with a single token.
 const REQUEST_COUNTS: [usize; 3] = [100, 300, 600];
 
-/// The numbers of streams that are open at once.
+/// Numbers of concurrent streams.
 const OPEN_STREAMS: [usize; 3] = [50, 150, 300];
 
-/// The times at which the memory of growing streams is read, in milliseconds.
+/// Times after the start at which the memory of growing streams is read, in milliseconds.
 const GROWTH_MS: [u64; 3] = [500, 1_500, 3_000];
 
-/// The numbers of engines of which agents read the load.
+/// Numbers of engines whose load an agent reads.
 const ENGINE_COUNTS: [usize; 3] = [4, 12, 24];
 
-/// The numbers of entry hosts.
+/// Numbers of entry hosts.
 const HOST_COUNTS: [usize; 3] = [2, 5, 8];
 
-/// The numbers of workspaces in the configuration.
+/// Numbers of workspaces in the configuration.
 const WORKSPACE_COUNTS: [usize; 3] = [10, 100, 490];
 
-/// How long idle processes are watched.
+/// Period over which the processor time of an idle agent is measured.
 const IDLE_PERIOD: Duration = Duration::from_secs(4);
 
-/// The time that open streams are given to start.
+/// Time for streams to start before memory is read.
 const SETTLE: Duration = Duration::from_millis(1_500);
 
-/// How the slopes are measured.
+/// Options of the `slopes` experiment.
 #[derive(Clone, Debug, Bpaf)]
 pub(crate) struct Options {
     /// Print the report as JSON only.
     json: bool,
 }
 
-/// Measures all slopes; returns whether each stream was whole.
+/// Measures all slopes; returns whether every stream of the processor-time runs had a complete
+/// answer.
 pub(crate) async fn run(options: Options) -> Result<bool, BenchError> {
     let programs = build::programs().await?;
     let (token, is_complete) = cpu_by_token(&programs).await?;
@@ -72,36 +74,36 @@
     });
     println!("{report:#}");
     if !options.json {
-        println!("processor time is that of all routers, the witness included");
+        println!("router processor time includes all routers, also the witness");
     }
     Ok(is_complete && is_answered)
 }
 
-/// The processor time of both routers by token, the owner's and the witness's together.
+/// Processor time per token of both routers, owner and witness together, in microseconds.
 async fn cpu_by_token(programs: &Path) -> Result<(Fit, bool), BenchError> {
     let fleet = Fleet::start(programs, &plan(2, 3, 10)).await?;
     let mut points = Vec::new();
     let mut is_complete = true;
     for tokens in OUTPUT_LENGTHS {
         let before = cpu(&fleet);
-        let served = Batch::start(&fleet, STREAM_COUNT, tokens).finish().await;
-        is_complete &= served.complete == STREAM_COUNT;
+        let result = Batch::start(&fleet, STREAM_COUNT, tokens).finish().await;
+        is_complete &= result.complete == STREAM_COUNT;
         let used = cpu(&fleet) - before;
-        points.push((served.tokens as f64, used.as_secs_f64() * 1e6));
+        points.push((result.tokens as f64, used.as_secs_f64() * 1e6));
     }
     fleet.stop().await;
     Ok((fit(points), is_complete))
 }
 
-/// The processor time of both routers by request of one token.
+/// Processor time of both routers per request of one token, in microseconds.
 async fn cpu_by_request(programs: &Path) -> Result<(Fit, bool), BenchError> {
     let fleet = Fleet::start(programs, &plan(2, 3, 10)).await?;
     let mut points = Vec::new();
     let mut is_complete = true;
     for count in REQUEST_COUNTS {
         let before = cpu(&fleet);
-        let served = Batch::start(&fleet, count, 1).finish().await;
-        is_complete &= served.complete == count;
+        let result = Batch::start(&fleet, count, 1).finish().await;
+        is_complete &= result.complete == count;
         let used = cpu(&fleet) - before;
         points.push((count as f64, used.as_secs_f64() * 1e6));
     }
@@ -109,7 +111,7 @@
     Ok((fit(points), is_complete))
 }
 
-/// The memory of both routers by open stream.
+/// Memory of both routers per open stream, in bytes.
 async fn memory_by_stream(programs: &Path) -> Result<Fit, BenchError> {
     let mut points = Vec::new();
     for count in OPEN_STREAMS {
@@ -124,7 +126,8 @@
     Ok(fit(points))
 }
 
-/// The memory of both routers by token of open streams: the owner's copies and the witness's.
+/// Memory of both routers per token of open streams, in bytes, for the copies of the owner and of
+/// the witness.
 async fn memory_by_token(programs: &Path) -> Result<Fit, BenchError> {
     let fleet = Fleet::start(programs, &plan(2, 3, 5)).await?;
     let batch = Batch::start(&fleet, STREAM_COUNT, 4_000);
@@ -140,7 +143,7 @@
     Ok(fit(points))
 }
 
-/// The processor time a second of one idle agent by engine.
+/// Processor time of one idle agent per engine, in microseconds per second.
 async fn agent_by_engine(programs: &Path) -> Result<Fit, BenchError> {
     let mut points = Vec::new();
     for engines in ENGINE_COUNTS {
@@ -151,7 +154,7 @@
     Ok(fit(points))
 }
 
-/// The size of the whole configuration as JSON by workspace.
+/// Size of the configuration as JSON per workspace, in bytes.
 fn document_by_workspace() -> Fit {
     let mut document = demo::document();
     let one = document.workspaces[0].clone();
@@ -163,7 +166,7 @@
     fit(WORKSPACE_COUNTS.into_iter().map(size).collect())
 }
 
-/// The processor time a second of one idle agent by entry host.
+/// Processor time of one idle agent per entry host, in microseconds per second.
 async fn agent_by_host(programs: &Path) -> Result<Fit, BenchError> {
     let mut points = Vec::new();
     for hosts in HOST_COUNTS {
@@ -174,15 +177,15 @@
     Ok(fit(points))
 }
 
-/// The size of what an agent tells its router, as JSON, by engine.
+/// Size per engine of the reports that an agent sends to its router, as JSON in bytes.
 async fn view_by_engine(programs: &Path) -> Result<Fit, BenchError> {
     let mut points = Vec::new();
     for engines in ENGINE_COUNTS {
         let fleet = Fleet::start(programs, &plan(1, engines, 10)).await?;
         let state = fleet.state(0).await?;
         let bytes = state["backends"].as_array().map(|all| {
-            let seen = all.iter().map(|b| b["seen"].to_string().len());
-            seen.sum::<usize>()
+            let reports = all.iter().map(|b| b["seen"].to_string().len());
+            reports.sum::<usize>()
         });
         points.push((engines as f64, bytes.unwrap_or(0) as f64));
         fleet.stop().await;
@@ -190,7 +193,7 @@
     Ok(fit(points))
 }
 
-/// The processor time of the first agent in microseconds a second.
+/// Processor time of the first agent, in microseconds per second.
 async fn idle_agent(fleet: &Fleet) -> f64 {
     let pid = fleet.hosts[0].agent.id();
     let before = usage::cpu(pid);
@@ -198,12 +201,12 @@
     (usage::cpu(pid) - before).as_secs_f64() * 1e6 / IDLE_PERIOD.as_secs_f64()
 }
 
-/// The processor time of all routers.
+/// Processor time of all routers.
 fn cpu(fleet: &Fleet) -> Duration {
     fleet.hosts.iter().map(|h| usage::cpu(h.router.id())).sum()
 }
 
-/// The memory of all routers.
+/// Memory of all routers, in bytes.
 fn memory(fleet: &Fleet) -> u64 {
     let of = |h: &crate::harness::fleet::EntryHost| usage::memory(h.router.id());
     fleet.hosts.iter().map(of).sum()
--- a/crates/gooseberry-bench/src/slopes/work.rs
+++ b/crates/gooseberry-bench/src/slopes/work.rs
@@ -1,4 +1,4 @@
-//! Streams that are opened together, and the processes that carry them.
+//! Batches of concurrent streams, and the deployment that serves them.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -11,13 +11,14 @@
 use crate::harness::fleet::{Fleet, PlainPlan, Plan};
 use crate::load::caller::{LoadRequest, Outcome};
 
-/// The streams that one engine generates at once: more than any run opens.
+/// Concurrent streams and queue length per engine; more than any run opens, so that no stream
+/// waits.
 const SLOTS: usize = 1_000;
 
-/// The prompt, in front of a number.
+/// Start of each prompt; the numbers of the stream and of the tokens follow.
 const PROMPT: &str = "Break the script down into tomorrow's schedule, scene";
 
-/// Entry hosts and engines in one data centre.
+/// A deployment with all entry hosts and engines in one data centre.
 pub(crate) fn plan(hosts: usize, engines: usize, gap_ms: u64) -> Plan {
     let here = DataCentre::from("vn-south-a");
     let mut document = demo::document();
@@ -38,23 +39,23 @@
     }
 }
 
-/// Streams under way.
+/// Streams in flight.
 pub(crate) struct Batch {
     tasks: Vec<JoinHandle<Outcome>>,
     tokens: Arc<AtomicU64>,
 }
 
-/// What a batch came to.
+/// The result of a batch.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct BatchResult {
-    /// The streams with a whole answer.
+    /// Streams with a complete answer.
     pub(crate) complete: usize,
-    /// The tokens received.
+    /// Tokens received over all streams.
     pub(crate) tokens: u64,
 }
 
 impl Batch {
-    /// Opens `count` streams of at most `tokens` tokens at all hosts in turn.
+    /// Opens `count` streams of at most `tokens` tokens, distributed round-robin over the hosts.
     pub(crate) fn start(fleet: &Fleet, count: usize, tokens: u64) -> Self {
         let received = Arc::new(AtomicU64::new(0));
         let open = |i: usize| {
@@ -81,7 +82,7 @@
         }
     }
 
-    /// The tokens received so far.
+    /// Tokens received so far over all streams.
     pub(crate) fn tokens(&self) -> u64 {
         self.tokens.load(Ordering::Relaxed)
     }
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Leaves all streams.
+    /// Drops the connections of all streams.
     pub(crate) fn abort(self) {
         self.tasks.iter().for_each(JoinHandle::abort);
     }
--- a/crates/gooseberry-bench/src/up.rs
+++ b/crates/gooseberry-bench/src/up.rs
@@ -1,4 +1,4 @@
-//! `up`: the demo's deployment, kept running for a person to try.
+//! `up`: runs the deployment of the demo for manual testing.
 
 use bpaf::Bpaf;
 
@@ -6,21 +6,21 @@
 use crate::harness::fleet::Fleet;
 use crate::harness::{BenchError, build};
 
-/// How the deployment is kept.
+/// Options of the `up` command.
 #[derive(Clone, Debug, Bpaf)]
 pub(crate) struct Options {
-    /// Stop after so many seconds; otherwise at Ctrl-C.
+    /// Stop after this many seconds; by default, run until Ctrl-C.
     #[bpaf(long, argument("S"))]
     seconds: Option<u64>,
-    /// How many entry hosts it has.
+    /// Number of entry hosts.
     #[bpaf(long, argument("N"), fallback(2))]
     hosts: usize,
-    /// How many engines it has.
+    /// Number of engines.
     #[bpaf(long, argument("N"), fallback(3))]
     engines: usize,
 }
 
-/// Runs the deployment until it is told to stop.
+/// Runs the deployment until Ctrl-C or until the given time is over.
 pub(crate) async fn run(options: Options) -> Result<bool, BenchError> {
     println!("building the programs");
     let programs = build::programs().await?;
@@ -34,10 +34,10 @@
     for (i, engine) in fleet.engines.iter().enumerate() {
         println!("export ENGINE_{i}=http://{}", engine.addr);
     }
-    println!("\nrunning; Ctrl-C stops it");
+    println!("\nrunning; press Ctrl-C to stop");
     let stopped = tokio::signal::ctrl_c();
     match options.seconds {
-        // Without a handler for the signal the process ends by the signal itself.
+        // If no signal handler can be installed, Ctrl-C terminates the process directly.
         None => drop(stopped.await),
         Some(s) => {
             let limit = std::time::Duration::from_secs(s);
--- a/crates/gooseberry-bench/tests/calls_smoke.rs
+++ b/crates/gooseberry-bench/tests/calls_smoke.rs
@@ -1,4 +1,7 @@
-//! Calls with real processes under faults: what must never be is not. Nothing here depends on time.
+//! Runs `calls` with real processes under faults and checks that no key is executed twice, no call
+//! reported as `not_run` was executed, and no answer belongs to another call.
+//!
+//! No assertion depends on timing.
 
 use std::process::Command;
 
@@ -16,7 +19,7 @@
         .unwrap_or_else(|e| panic!("{e}: {text}{}", String::from_utf8_lossy(&output.stderr)));
     assert_eq!(report["keys"], 200);
     assert_eq!(report["runs_max"], 1);
-    for flaw in ["false_not_run", "crossed"] {
-        assert_eq!(report[flaw], 0, "{flaw}");
+    for violation in ["false_not_run", "crossed"] {
+        assert_eq!(report[violation], 0, "{violation}");
     }
 }
--- a/crates/gooseberry-bench/tests/demo_smoke.rs
+++ b/crates/gooseberry-bench/tests/demo_smoke.rs
@@ -1,4 +1,7 @@
-//! The demo with real processes and sockets: every answer is whole. Nothing here depends on time.
+//! Runs `demo` with real processes and sockets and checks that every answer is complete and exact
+//! although an engine is killed.
+//!
+//! No assertion depends on timing.
 
 use std::process::Command;
 
@@ -15,8 +18,8 @@
         .unwrap_or_else(|e| panic!("{e}: {text}{}", String::from_utf8_lossy(&output.stderr)));
     assert_eq!(report["requests"], 12);
     assert_eq!(report["exact"], 12);
-    for flaw in ["missing", "repeated", "mixed", "lost", "restarted"] {
-        assert_eq!(report[flaw], 0, "{flaw}");
+    for violation in ["missing", "repeated", "mixed", "lost", "restarted"] {
+        assert_eq!(report[violation], 0, "{violation}");
     }
     assert!(output.status.success());
 }
--- a/crates/gooseberry-bench/tests/flags.rs
+++ b/crates/gooseberry-bench/tests/flags.rs
@@ -1,4 +1,4 @@
-//! The options that print and exit.
+//! Checks the output and exit code of `--help` and `--version`.
 
 use std::process::{Command, Output};
 
