--- a/crates/gooseberry-bench/src/config/changes.rs
+++ b/crates/gooseberry-bench/src/config/changes.rs
@@ -1,4 +1,4 @@
-//! The operators of the experiment: they change one workspace at a time.
+//! Simulated operators, who propose changes of one workspace each.
 
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -11,14 +11,15 @@
 use rand::rngs::StdRng;
 use tokio::time::{Instant, sleep_until};
 
-use super::agents::{Agents, KEY, WORKSPACES, change};
+use super::agents::{Agents, OPERATOR_KEY, WORKSPACES, change};
 
-/// The longest wait for the answer to a proposal.
-const LIMIT: Duration = Duration::from_secs(8);
+/// Time limit for the answer to a proposal.
+const APPLY_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// An accepted change.
+/// A change of one workspace that was or will be proposed.
 #[derive(Clone, Debug)]
-pub(crate) struct Accepted {
+pub(crate) struct ProposedChange {
+    /// Before acceptance the base version of the proposal, afterwards the version that it created.
     pub(crate) version: Version,
     pub(crate) operation: OperationId,
     pub(crate) workspace: usize,
@@ -27,27 +28,29 @@
     pub(crate) sent_ms: u64,
 }
 
-/// What the operators did.
+/// The operators, the changes that were accepted, and counts of all other outcomes.
 #[derive(Debug, Default)]
 pub(crate) struct Operators {
-    pub(crate) accepted: Vec<Accepted>,
+    pub(crate) accepted: Vec<ProposedChange>,
     pub(crate) conflicts: u64,
-    /// Proposals to agents that could not reach the platform; nothing was sent for these.
+    /// Proposals to agents that could not reach the platform and therefore sent nothing to it.
     pub(crate) unavailable: u64,
-    /// Proposals that were refused for another reason, or have no known outcome.
+    /// Proposals that were refused for a reason other than a conflict, or whose outcome is unknown.
     pub(crate) failed: u64,
+    /// The highest version reported in answers; the base of the next proposal.
     head: u64,
+    /// Number of changes drawn so far.
     count: u32,
 }
 
-/// How one proposal ended.
-struct Answer {
-    tried: Accepted,
+/// A proposal and its outcome; `None` if there was no valid answer.
+struct ProposalResult {
+    proposed: ProposedChange,
     outcome: Option<Outcome>,
 }
 
 impl Operators {
-    /// Makes `count` changes, one each `period`.
+    /// Proposes `count` changes, one per `period`.
     pub(crate) async fn steady(
         &mut self,
         agents: &Agents,
@@ -58,41 +61,42 @@
         let start = Instant::now();
         for i in 0..u32::try_from(count).unwrap_or(0) {
             sleep_until(start + period * i).await;
-            let tried = self.draw(random);
-            let answer = send(pick(agents, random), tried).await;
-            self.note(answer);
+            let proposed = self.draw_change(random);
+            let result = send(pick_agent(agents, random), proposed).await;
+            self.record(result);
         }
         sleep_until(start + period * u32::try_from(count).unwrap_or(0)).await;
     }
 
-    /// Two operators propose at once, through two agents.
+    /// Proposes two changes concurrently on the same base version, through two agents drawn at
+    /// random.
     pub(crate) async fn race(&mut self, agents: &Agents, random: &mut StdRng) {
-        let (one, two) = (self.draw(random), self.draw(random));
-        let (first, second) = (pick(agents, random), pick(agents, random));
+        let (one, two) = (self.draw_change(random), self.draw_change(random));
+        let (first, second) = (pick_agent(agents, random), pick_agent(agents, random));
         let (one, two) = tokio::join!(send(first, one), send(second, two));
-        self.note(one);
-        self.note(two);
+        self.record(one);
+        self.record(two);
     }
 
-    fn draw(&mut self, random: &mut StdRng) -> Accepted {
+    fn draw_change(&mut self, random: &mut StdRng) -> ProposedChange {
         self.count += 1;
-        Accepted {
+        ProposedChange {
             version: Version(self.head.max(1)),
             operation: OperationId(format!("change-{}", self.count)),
             workspace: random.random_range(0..WORKSPACES),
-            // Each change differs from all before it.
+            // Unique, so that the state of an agent shows which change it holds.
             share: self.count + 1,
             sent_ms: now_ms(),
         }
     }
 
-    fn note(&mut self, answer: Answer) {
-        match answer.outcome {
+    fn record(&mut self, result: ProposalResult) {
+        match result.outcome {
             Some(Outcome::Accepted { version }) => {
                 self.head = self.head.max(version.0);
-                self.accepted.push(Accepted {
+                self.accepted.push(ProposedChange {
                     version,
-                    ..answer.tried
+                    ..result.proposed
                 });
             }
             Some(Outcome::Refused {
@@ -107,20 +111,20 @@
     }
 }
 
-/// Sends a proposal based on the version that `tried` names.
-async fn send(addr: SocketAddr, tried: Accepted) -> Answer {
+/// Proposes a change on top of `proposed.version`.
+async fn send(addr: SocketAddr, proposed: ProposedChange) -> ProposalResult {
     let proposal = Proposal {
-        base: tried.version,
-        operation: tried.operation.clone(),
-        changes: vec![change(tried.workspace, tried.share)],
+        base: proposed.version,
+        operation: proposed.operation.clone(),
+        changes: vec![change(proposed.workspace, proposed.share)],
     };
     let path = "/v1/config/apply";
     let mut request = web::client::json_request(addr, Method::POST, path, &proposal);
-    if let Ok(value) = format!("Bearer {KEY}").parse() {
+    if let Ok(value) = format!("Bearer {OPERATOR_KEY}").parse() {
         request.headers_mut().insert("authorization", value);
     }
-    Answer {
-        tried,
+    ProposalResult {
+        proposed,
         outcome: outcome(addr, request).await,
     }
 }
@@ -129,7 +133,7 @@
     addr: SocketAddr,
     request: hyper::Request<http_body_util::Full<bytes::Bytes>>,
 ) -> Option<Outcome> {
-    let response = web::client::send(addr, request, LIMIT).await.ok()?;
+    let response = web::client::send(addr, request, APPLY_TIMEOUT).await.ok()?;
     match web::client::read_whole(addr, response).await {
         Ok(bytes) => serde_json::from_slice(&bytes).ok(),
         Err(web::client::CallError::Status { body, .. }) => serde_json::from_str(&body).ok(),
@@ -137,8 +141,8 @@
     }
 }
 
-/// An agent that is up.
-fn pick(agents: &Agents, random: &mut StdRng) -> SocketAddr {
+/// The admin address of a random agent that is running.
+fn pick_agent(agents: &Agents, random: &mut StdRng) -> SocketAddr {
     let up: Vec<SocketAddr> = agents
         .all
         .iter()
@@ -148,7 +152,7 @@
     up[random.random_range(0..up.len())]
 }
 
-/// The time, in milliseconds of Unix time; all processes run on one machine.
+/// Unix time in milliseconds; comparable across processes, since all run on one host.
 pub(crate) fn now_ms() -> u64 {
     let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
     elapsed.map_or(0, |e| u64::try_from(e.as_millis()).unwrap_or(0))
--- a/crates/gooseberry-bench/src/config/relay.rs
+++ b/crates/gooseberry-bench/src/config/relay.rs
@@ -1,4 +1,4 @@
-//! A relay to the platform that can be cut.
+//! A TCP relay to the platform that can be cut, to simulate a partition.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,10 +9,10 @@
 use tokio::task::{JoinHandle, JoinSet};
 use tokio::time::sleep;
 
-/// The time between looks at whether the relay is cut.
-const LOOK: Duration = Duration::from_millis(20);
+/// Interval at which the relay checks whether it has been cut and must close its connections.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A relay; it ends with its value.
+/// A relay, which stops when dropped.
 #[derive(Debug)]
 pub(crate) struct Relay {
     is_cut: Arc<AtomicBool>,
@@ -26,43 +26,44 @@
 }
 
 impl Relay {
-    /// Starts a relay that listens at `from`; without that address nobody is relayed.
-    pub(crate) async fn start(from: SocketAddr, to: SocketAddr) -> Self {
+    /// Starts a relay from `listen` to `target`; if the address cannot be bound, nothing is
+    /// relayed.
+    pub(crate) async fn start(listen: SocketAddr, target: SocketAddr) -> Self {
         let is_cut = Arc::new(AtomicBool::new(false));
         let cut = is_cut.clone();
         let task = tokio::spawn(async move {
-            if let Ok(listener) = TcpListener::bind(from).await {
-                run(listener, to, cut).await;
+            if let Ok(listener) = TcpListener::bind(listen).await {
+                run(listener, target, cut).await;
             }
         });
         Self { is_cut, task }
     }
 
-    /// Breaks all connections and takes no more, or takes them again.
+    /// With `true`, closes all connections and drops new ones; with `false`, relays again.
     pub(crate) fn cut(&self, is_cut: bool) {
         self.is_cut.store(is_cut, Ordering::Relaxed);
     }
 }
 
-async fn run(listener: TcpListener, to: SocketAddr, cut: Arc<AtomicBool>) {
-    let mut copies = JoinSet::new();
+async fn run(listener: TcpListener, target: SocketAddr, cut: Arc<AtomicBool>) {
+    let mut connections = JoinSet::new();
     loop {
         tokio::select! {
             accepted = listener.accept() => {
-                let Ok((mut near, _)) = accepted else { continue };
+                let Ok((mut client, _)) = accepted else { continue };
                 if cut.load(Ordering::Relaxed) {
                     continue;
                 }
-                copies.spawn(async move {
-                    let mut far = TcpStream::connect(to).await?;
-                    tokio::io::copy_bidirectional(&mut near, &mut far).await
+                connections.spawn(async move {
+                    let mut server = TcpStream::connect(target).await?;
+                    tokio::io::copy_bidirectional(&mut client, &mut server).await
                 });
             }
-            () = sleep(LOOK) => {
+            () = sleep(POLL_INTERVAL) => {
                 if cut.load(Ordering::Relaxed) {
-                    copies.abort_all();
+                    connections.abort_all();
                 }
-                while copies.try_join_next().is_some() {}
+                while connections.try_join_next().is_some() {}
             }
         }
     }
--- a/crates/gooseberry-bench/src/config/usage.rs
+++ b/crates/gooseberry-bench/src/config/usage.rs
@@ -1,4 +1,4 @@
-//! What the agents and the platform spend.
+//! Network, processor and memory usage of the agents, and their load on the platform.
 
 use std::time::Duration;
 
@@ -11,61 +11,64 @@
 use crate::harness::fleet::CALL;
 use crate::harness::usage;
 
-/// The bytes in a megabyte of memory.
+/// Bytes per MiB.
 const MIB: f64 = 1_048_576.0;
 
-/// What was spent up to some time.
+/// Cumulative usage up to a point in time.
 pub(crate) struct Usage {
     at: Instant,
-    nodes: Vec<Node>,
+    by_agent: Vec<AgentUsage>,
+    /// Reads counted by the platform.
     reads: f64,
+    /// Writes counted by the platform.
     writes: f64,
 }
 
-/// What one agent has spent.
+/// Cumulative traffic and processor time of one agent, and its current memory.
 #[derive(Clone, Copy, Default)]
-struct Node {
+struct AgentUsage {
+    /// Bytes sent and received.
     bytes: f64,
     cpu: Duration,
     /// In bytes.
     memory: u64,
 }
 
-/// Over all agents.
+/// Mean and maximum over all agents.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub(crate) struct Spread {
+pub(crate) struct MeanMax {
     pub(crate) mean: f64,
     pub(crate) max: f64,
 }
 
-/// What was spent in a span of time, a node.
+/// Usage rates over a period, per agent unless stated otherwise.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub(crate) struct Spent {
-    /// Bytes sent and received a second.
-    pub(crate) bytes_s: Spread,
-    /// The share of one core.
-    pub(crate) cpu_share: Spread,
-    /// Resident memory in megabytes.
-    pub(crate) memory_mb: Spread,
-    /// Reads of the platform a second, by all agents.
+pub(crate) struct UsageRate {
+    /// Bytes sent and received per second.
+    pub(crate) bytes_s: MeanMax,
+    /// Share of one core.
+    pub(crate) cpu_share: MeanMax,
+    /// Resident memory at the end of the period, in MiB.
+    pub(crate) memory_mb: MeanMax,
+    /// Reads of the platform per second, by all agents together.
     pub(crate) reads_s: f64,
-    /// Writes to the platform a second, by all agents.
+    /// Writes to the platform per second, by all agents together.
     pub(crate) writes_s: f64,
 }
 
 impl Usage {
-    /// Reads what all agents have spent so far.
+    /// Reads the cumulative usage of all agents; an agent that does not answer counts 0 bytes.
     pub(crate) async fn read(agents: &Agents) -> Self {
         let at = Instant::now();
         let stats = stats(&agents.platform).await;
-        let mut nodes = Vec::new();
+        let mut by_agent = Vec::new();
         for agent in &agents.all {
             let state = web::client::get(agent.admin, "/v1/state", CALL).await;
             let state: Value = state.unwrap_or_default();
             let traffic = &state["traffic"];
             let bytes = number(&traffic["sent"]) + number(&traffic["received"]);
             let id = agent.process.id();
-            nodes.push(Node {
+            by_agent.push(AgentUsage {
                 bytes,
                 cpu: usage::cpu(id),
                 memory: usage::memory(id),
@@ -73,24 +76,24 @@
         }
         Self {
             at,
-            nodes,
+            by_agent,
             reads: number(&stats["reads"]),
             writes: number(&stats["writes"]),
         }
     }
 
-    /// What was spent since `before`.
-    pub(crate) fn since(&self, before: &Self) -> Spent {
-        let span = (self.at - before.at).as_secs_f64();
-        let pairs = || self.nodes.iter().zip(&before.nodes);
-        Spent {
-            bytes_s: spread(pairs().map(|(a, b)| (a.bytes - b.bytes) / span)),
-            cpu_share: spread(
-                pairs().map(|(a, b)| a.cpu.saturating_sub(b.cpu).as_secs_f64() / span),
+    /// The usage rates from `before` to `self`.
+    pub(crate) fn since(&self, before: &Self) -> UsageRate {
+        let seconds = (self.at - before.at).as_secs_f64();
+        let pairs = || self.by_agent.iter().zip(&before.by_agent);
+        UsageRate {
+            bytes_s: mean_max(pairs().map(|(a, b)| (a.bytes - b.bytes) / seconds)),
+            cpu_share: mean_max(
+                pairs().map(|(a, b)| a.cpu.saturating_sub(b.cpu).as_secs_f64() / seconds),
             ),
-            memory_mb: spread(self.nodes.iter().map(|n| n.memory as f64 / MIB)),
-            reads_s: (self.reads - before.reads) / span,
-            writes_s: (self.writes - before.writes) / span,
+            memory_mb: mean_max(self.by_agent.iter().map(|n| n.memory as f64 / MIB)),
+            reads_s: (self.reads - before.reads) / seconds,
+            writes_s: (self.writes - before.writes) / seconds,
         }
     }
 }
@@ -104,10 +107,10 @@
     value.as_f64().unwrap_or(0.0)
 }
 
-fn spread(values: impl Iterator<Item = f64>) -> Spread {
+fn mean_max(values: impl Iterator<Item = f64>) -> MeanMax {
     let all: Vec<f64> = values.collect();
     let count = all.len().max(1) as f64;
-    Spread {
+    MeanMax {
         mean: all.iter().sum::<f64>() / count,
         max: all.iter().copied().fold(0.0, f64::max),
     }
--- a/crates/gooseberry-bench/src/load.rs
+++ b/crates/gooseberry-bench/src/load.rs
@@ -1,4 +1,5 @@
-//! `load`: both deployments under rising load, against simple rules of choice.
+//! `load`: runs both deployments under increasing load and compares the combined load-balancing
+//! rule with simple baseline rules.
 
 pub(crate) mod caller;
 mod plan;
@@ -14,41 +15,41 @@
 use plan::Deployment;
 use step::Step;
 
-/// The loads in percent of what the engines carry with warm caches.
+/// Offered loads in percent of the capacity of the engines with warm caches.
 const LOADS: [u64; 5] = [30, 70, 100, 150, 200];
 
-/// The loads of the baselines; the last one is compared.
+/// Offered loads under each baseline rule, in percent; only the last step is compared.
 const BASELINE_LOADS: [u64; 2] = [30, 70];
 
-/// The rules that serve as baselines.
+/// Load-balancing rules used as baselines.
 const BASELINES: [balance::Rule; 3] = [
     balance::Rule::RoundRobin,
     balance::Rule::Random,
     balance::Rule::LeastInFlight,
 ];
 
-/// The least goodput at twice the capacity, as a part of the best step.
+/// Minimum goodput at twice the capacity, as a fraction of that of the best step.
 const MIN_GOODPUT: f64 = 0.9;
 
-/// The least Jain index over workspaces that ask for more than their share.
+/// Minimum Jain fairness index over the workspaces that request more than their share.
 const MIN_FAIRNESS: f64 = 0.95;
 
-/// How the load is made.
+/// Options of the `load` experiment.
 #[derive(Clone, Debug, Bpaf)]
 pub(crate) struct Options {
-    /// The seed of arrivals and prompts.
+    /// Seed of arrivals and prompts.
     #[bpaf(long, argument("N"), fallback(1))]
     seed: u64,
-    /// The seconds of each step.
+    /// Duration of each step in seconds.
     #[bpaf(long, argument("S"), fallback(7))]
     seconds: u64,
     /// Print the report as JSON only.
     json: bool,
 }
 
-/// Whether each bound is kept.
+/// Whether each bound is satisfied.
 #[derive(Clone, Copy, Debug, Serialize)]
-struct Kept {
+struct BoundResults {
     goodput: bool,
     late: bool,
     fairness: bool,
@@ -56,10 +57,10 @@
     prefix_hits: bool,
 }
 
-/// Runs the experiment; returns whether all bounds are kept.
+/// Runs the experiment; returns whether all bounds are satisfied.
 pub(crate) async fn run(options: Options) -> Result<bool, BenchError> {
     let programs = build::programs().await?;
-    let mut is_kept = true;
+    let mut is_within = true;
     let mut deployments = Vec::new();
     for deployment in plan::deployments() {
         let steps = run_rule(
@@ -75,32 +76,36 @@
             let ran = run_rule(&programs, &deployment, rule, &BASELINE_LOADS, &options).await?;
             baselines.extend(ran.into_iter().last().map(|step| (rule, step)));
         }
-        let kept = judge(&steps, &baselines);
-        is_kept &= kept.goodput && kept.late && kept.fairness && kept.ttft_p95 && kept.prefix_hits;
-        deployments.push(report(&deployment, &steps, &baselines, kept));
+        let bounds = judge(&steps, &baselines);
+        is_within &= bounds.goodput
+            && bounds.late
+            && bounds.fairness
+            && bounds.ttft_p95
+            && bounds.prefix_hits;
+        deployments.push(report(&deployment, &steps, &baselines, bounds));
     }
     let report = json!({
         "seed": options.seed,
         "commit": build::commit().await,
         "step_s": options.seconds,
         "deployments": deployments,
-        "ok": is_kept,
+        "ok": is_within,
     });
     println!("{report:#}");
     if !options.json {
         println!(
             "{}",
-            if is_kept {
-                "all bounds are kept"
+            if is_within {
+                "all bounds are satisfied"
             } else {
                 "FAILED"
             }
         );
     }
-    Ok(is_kept)
+    Ok(is_within)
 }
 
-/// Runs steps under one rule, with processes and caches of their own.
+/// Runs all steps under one rule on a new deployment, so that no caches carry over between rules.
 async fn run_rule(
     programs: &std::path::Path,
     deployment: &Deployment,
@@ -122,27 +127,27 @@
     Ok(steps)
 }
 
-fn judge(steps: &[Step], baselines: &[(balance::Rule, Step)]) -> Kept {
+fn judge(steps: &[Step], baselines: &[(balance::Rule, Step)]) -> BoundResults {
     let best = steps.iter().map(|s| s.goodput).fold(0.0, f64::max);
     let last = steps.last();
-    let like = steps
+    let comparable = steps
         .iter()
         .find(|s| Some(&s.load) == BASELINE_LOADS.last());
-    Kept {
+    BoundResults {
         goodput: last.is_some_and(|s| s.goodput >= MIN_GOODPUT * best),
         late: steps.iter().all(|s| s.late == 0),
         fairness: last.is_some_and(|s| s.fairness >= MIN_FAIRNESS),
-        ttft_p95: beats(like, baselines, |own, other| {
+        ttft_p95: beats_all(comparable, baselines, |own, other| {
             own.ttft_ms.p95 < other.ttft_ms.p95
         }),
-        prefix_hits: beats(like, baselines, |own, other| {
+        prefix_hits: beats_all(comparable, baselines, |own, other| {
             own.prefix_hits > other.prefix_hits
         }),
     }
 }
 
-/// Whether a step is better than that of every baseline.
-fn beats(
+/// Whether a step is better than the steps of all baselines; `false` if there is no such step.
+fn beats_all(
     own: Option<&Step>,
     baselines: &[(balance::Rule, Step)],
     is_better: impl Fn(&Step, &Step) -> bool,
@@ -154,7 +159,7 @@
     deployment: &Deployment,
     steps: &[Step],
     baselines: &[(balance::Rule, Step)],
-    kept: Kept,
+    bounds: BoundResults,
 ) -> Value {
     let baselines: Vec<Value> = baselines
         .iter()
@@ -168,6 +173,6 @@
         "capacity_rps": deployment.capacity(),
         "steps": steps,
         "baselines": baselines,
-        "kept": kept,
+        "kept": bounds,
     })
 }
--- a/crates/gooseberry-bench/src/load/caller.rs
+++ b/crates/gooseberry-bench/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! One request of an open load: asked once, never repeated.
+//! One request of an open-loop load, sent once without retries.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,104 +14,108 @@
 use tokio::time::{Instant, timeout};
 use web::client::CallError;
 
-/// The longest wait for the head of an answer.
-const HEAD: Duration = Duration::from_secs(10);
+/// Time limit for the response headers.
+const HEADERS_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The longest silence in an answer.
-const SILENCE: Duration = Duration::from_secs(5);
+/// Time limit between two events of an answer.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What one request is.
+/// One streaming completion request.
 #[derive(Clone, Debug)]
-pub(crate) struct Ask {
-    /// The entry host.
+pub(crate) struct LoadRequest {
+    /// Caller address of the entry host.
     pub(crate) host: SocketAddr,
-    /// The bearer key.
+    /// Bearer key of the workspace.
     pub(crate) bearer: String,
-    /// The service.
+    /// Name of the service, sent as the model.
     pub(crate) service: String,
-    /// The prompt.
     pub(crate) prompt: String,
-    /// The most tokens.
+    /// Maximum number of tokens of the answer.
     pub(crate) max_tokens: u64,
 }
 
-/// How a request ended.
+/// The outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum End {
-    /// The whole answer came.
+pub(crate) enum Outcome {
+    /// The complete and exact answer was received.
     Served,
-    /// Refused as not run, with a time to come back.
+    /// Refused as not executed, with a `Retry-After` header.
     Shed,
-    /// Anything else.
+    /// Any other outcome: no answer, an incomplete or wrong one, or another error.
     Failed,
 }
 
-/// What came of a request.
+/// The outcome and timing of a request.
 #[derive(Clone, Debug)]
-pub(crate) struct Seen {
-    /// When it was sent.
+pub(crate) struct RequestResult {
+    /// When the request was sent.
     pub(crate) sent: Instant,
-    /// When tokens came, and how many.
+    /// Arrival time and number of tokens of each event that carried tokens.
     pub(crate) arrivals: Vec<(Instant, u64)>,
-    /// How it ended.
-    pub(crate) end: End,
-    /// When it ended.
+    /// How the request ended.
+    pub(crate) outcome: Outcome,
+    /// When the request ended.
     pub(crate) ended: Instant,
 }
 
-impl Ask {
-    /// Sends the request and reads the answer.
-    pub(crate) async fn run(&self) -> Seen {
+impl LoadRequest {
+    /// Sends the request and reads the whole answer.
+    pub(crate) async fn run(&self) -> RequestResult {
         let sent = Instant::now();
         let mut arrivals = Vec::new();
-        let end = self.read(&mut arrivals, |_| ()).await;
-        Seen {
+        let outcome = self.read(&mut arrivals, |_| ()).await;
+        RequestResult {
             sent,
             arrivals,
-            end,
+            outcome,
             ended: Instant::now(),
         }
     }
 
-    /// Reads the answer; `note` is told of each number of tokens as it comes.
-    pub(crate) async fn read(&self, arrivals: &mut Vec<(Instant, u64)>, note: impl Fn(u64)) -> End {
-        let answer = web::client::send(self.host, self.request(), HEAD).await;
+    /// Sends the request and reads the answer, appending to `arrivals`; `on_tokens` is called with
+    /// the token count of each event as it arrives.
+    pub(crate) async fn read(
+        &self,
+        arrivals: &mut Vec<(Instant, u64)>,
+        on_tokens: impl Fn(u64),
+    ) -> Outcome {
+        let answer = web::client::send(self.host, self.request(), HEADERS_TIMEOUT).await;
         let Ok(response) = answer else {
-            return End::Failed;
+            return Outcome::Failed;
         };
         if !response.status().is_success() {
-            let says_when = response.headers().contains_key(RETRY_AFTER);
+            let has_retry_after = response.headers().contains_key(RETRY_AFTER);
             let body = web::client::read_whole(self.host, response).await;
-            return refused(says_when, body.err());
+            return classify_refusal(has_retry_after, body.err());
         }
         let mut events = SseStream::new(response.into_body());
         let mut text = String::new();
-        while let Ok(Some(Ok(event))) = timeout(SILENCE, events.next()).await {
+        while let Ok(Some(Ok(event))) = timeout(IDLE_TIMEOUT, events.next()).await {
             if event.event.is_some() {
-                return End::Failed;
+                return Outcome::Failed;
             }
             let data = event.data.as_deref().unwrap_or_default();
             if data == "[DONE]" {
-                return self.whole(&text);
+                return self.check_text(&text);
             }
             let body: Value = serde_json::from_str(data).unwrap_or_default();
             let piece = body["choices"][0]["text"].as_str().unwrap_or_default();
             let count = piece.split_whitespace().count() as u64;
             if count > 0 {
                 arrivals.push((Instant::now(), count));
-                note(count);
+                on_tokens(count);
                 text.push_str(piece);
             }
         }
-        End::Failed
+        Outcome::Failed
     }
 
-    /// Whether a text is the whole answer.
-    fn whole(&self, text: &str) -> End {
+    /// Checks that a text has the expected tokens and length.
+    fn check_text(&self, text: &str) -> Outcome {
         let (length, _) = sequence::length(&self.prompt, self.max_tokens);
         match sequence::check(&self.prompt, text) {
-            Ok(count) if count == length => End::Served,
-            _ => End::Failed,
+            Ok(count) if count == length => Outcome::Served,
+            _ => Outcome::Failed,
         }
     }
 
@@ -131,15 +135,15 @@
     }
 }
 
-/// Whether an error says that the request was not run, and when to come back.
-fn refused(says_when: bool, error: Option<CallError>) -> End {
+/// Classifies an error response: shed if it says `not_run` and has a `Retry-After` header.
+fn classify_refusal(has_retry_after: bool, error: Option<CallError>) -> Outcome {
     let Some(CallError::Status { body, .. }) = error else {
-        return End::Failed;
+        return Outcome::Failed;
     };
     let body: Value = serde_json::from_str(&body).unwrap_or_default();
-    if says_when && body["ran"] == "not_run" {
-        End::Shed
+    if has_retry_after && body["ran"] == "not_run" {
+        Outcome::Shed
     } else {
-        End::Failed
+        Outcome::Failed
     }
 }
--- a/crates/gooseberry-bench/src/load/plan.rs
+++ b/crates/gooseberry-bench/src/load/plan.rs
@@ -1,4 +1,4 @@
-//! The two deployments and their workspaces.
+//! The simulated deployments and their workspaces.
 
 use base::hash::key_digest;
 use base::prelude::*;
@@ -8,60 +8,60 @@
 
 use crate::harness::fleet::{PlainPlan, Plan};
 
-/// The entry hosts of a deployment.
+/// Number of entry hosts per deployment.
 const HOSTS: usize = 8;
 
-/// The streams that one engine generates at once.
+/// Concurrent streams per engine.
 const SLOTS: usize = 8;
 
-/// The time between tokens, in milliseconds.
+/// Time between tokens, in milliseconds.
 const GAP_MS: u64 = 40;
 
-/// The time to a first token without prefill, in milliseconds.
+/// Time to the first token without prefill, in milliseconds.
 const FIRST_MS: u64 = 20;
 
-/// The time that one uncached token of the prompt takes, in microseconds.
+/// Prefill time per uncached prompt token, in microseconds.
 const PREFILL_US: u64 = 200;
 
-/// The blocks in an engine's prefix cache: about seven script breakdowns.
+/// Capacity of an engine's prefix cache in blocks: about seven script breakdowns.
 const CACHE_BLOCKS: usize = 512;
 
-/// The most tokens of one draft.
-pub(super) const TOKENS: u64 = 50;
+/// Maximum number of tokens of an answer.
+pub(super) const MAX_TOKENS: u64 = 50;
 
-/// The mean length of a draft as a part of [`TOKENS`]: one in four ends at three quarters.
+/// Mean length of an answer as a fraction of [`MAX_TOKENS`]: one in four ends at three quarters.
 const MEAN_LENGTH: f64 = 0.9375;
 
-/// The longest to the first token, in milliseconds.
+/// Deadline of the first token, in milliseconds.
 pub(super) const DEADLINE_MS: u64 = 3_000;
 
-/// A workspace and its part of the offered load.
+/// A workspace and its fraction of the offered load.
 #[derive(Clone, Debug)]
-pub(super) struct Space {
-    /// The name, which is also its bearer key.
+pub(super) struct WorkspaceLoad {
+    /// Name of the workspace, also used as its bearer key.
     pub(super) name: String,
-    /// Its weight.
+    /// Fair-share weight in the configuration.
     pub(super) share: u32,
-    /// Its part of the requests, in thousandths.
-    pub(super) part: u64,
+    /// Fraction of the requests, in thousandths.
+    pub(super) per_mille: u64,
 }
 
-/// One deployment.
+/// The size and layout of one deployment.
 #[derive(Clone, Debug)]
 pub(super) struct Deployment {
-    /// The name.
+    /// Name in the report.
     pub(super) name: &'static str,
-    /// The service.
+    /// Name of the model service.
     pub(super) service: &'static str,
-    /// The data centre of each entry host.
+    /// Data centre of each entry host.
     pub(super) hosts: Vec<DataCentre>,
-    /// The data centre of each engine.
+    /// Data centre of each engine.
     pub(super) engines: Vec<DataCentre>,
-    /// The workspaces.
-    pub(super) workspaces: Vec<Space>,
+    /// All workspaces; their thousandths add up to 1,000.
+    pub(super) workspaces: Vec<WorkspaceLoad>,
 }
 
-/// Both deployments at their sizes of today.
+/// Both deployments, at their current sizes.
 pub(super) fn deployments() -> [Deployment; 2] {
     [
         deployment(
@@ -82,43 +82,43 @@
 fn deployment(
     name: &'static str,
     service: &'static str,
-    places: &[&str],
+    data_centres: &[&str],
     engines: usize,
 ) -> Deployment {
-    let spread = |count: usize| -> Vec<DataCentre> {
+    let assign = |count: usize| -> Vec<DataCentre> {
         (0..count)
-            .map(|i| DataCentre::from(places[i % places.len()]))
+            .map(|i| DataCentre::from(data_centres[i % data_centres.len()]))
             .collect()
     };
     Deployment {
         name,
         service,
-        hosts: spread(HOSTS),
-        engines: spread(engines),
+        hosts: assign(HOSTS),
+        engines: assign(engines),
         workspaces: workspaces(),
     }
 }
 
-/// Three large workspaces, one of them greedy, among seven small ones.
-fn workspaces() -> Vec<Space> {
+/// Three large and seven small workspaces; the largest requests far more than its share.
+fn workspaces() -> Vec<WorkspaceLoad> {
     let large = [380, 230, 180];
     let small = [30; 7];
-    let one = |(i, part): (usize, &u64)| Space {
+    let one = |(i, per_mille): (usize, &u64)| WorkspaceLoad {
         name: format!("workspace-{i}"),
-        share: if *part > 100 { 2 } else { 1 },
-        part: *part,
+        share: if *per_mille > 100 { 2 } else { 1 },
+        per_mille: *per_mille,
     };
     large.iter().chain(&small).enumerate().map(one).collect()
 }
 
 impl Deployment {
-    /// The requests a second that the engines carry when all prefixes are cached.
+    /// Requests per second that the engines can serve when all prefixes are cached.
     pub(super) fn capacity(&self) -> f64 {
-        let hold_ms = FIRST_MS as f64 + TOKENS as f64 * MEAN_LENGTH * GAP_MS as f64;
+        let hold_ms = FIRST_MS as f64 + MAX_TOKENS as f64 * MEAN_LENGTH * GAP_MS as f64;
         (self.engines.len() * SLOTS) as f64 * 1_000.0 / hold_ms
     }
 
-    /// The processes to start.
+    /// The processes to start for this deployment.
     pub(super) fn plan(&self, document: Document) -> Plan {
         Plan {
             hosts: self.hosts.clone(),
@@ -138,7 +138,7 @@
         }
     }
 
-    /// The configuration under one rule of choice.
+    /// The configuration with `rule` as the load-balancing rule.
     pub(super) fn document(&self, rule: balance::Rule) -> Document {
         let profile: Profile = serde_json::from_value(json!({
             "name": "drafts",
@@ -146,10 +146,10 @@
             "choice": rule,
         }))
         .unwrap_or_else(|_| unreachable!("the profile's other fields have defaults"));
-        let workspace = |space: &Space| Workspace {
-            name: WorkspaceName::from(space.name.as_str()),
-            keys: vec![key_digest(&space.name)],
-            share: space.share,
+        let workspace = |load: &WorkspaceLoad| Workspace {
+            name: WorkspaceName::from(load.name.as_str()),
+            keys: vec![key_digest(&load.name)],
+            share: load.share,
             running: 0,
         };
         Document {
--- a/crates/gooseberry-bench/src/load/step.rs
+++ b/crates/gooseberry-bench/src/load/step.rs
@@ -1,4 +1,4 @@
-//! One step of constant load and what it showed.
+//! One step of constant load and its measurements.
 
 use std::time::Duration;
 
@@ -9,60 +9,61 @@
 use serde::Serialize;
 use tokio::time::{Instant, sleep_until};
 
-use super::caller::{Ask, End, Seen};
-use super::plan::{DEADLINE_MS, Deployment, TOKENS};
+use super::caller::{LoadRequest, Outcome, RequestResult};
+use super::plan::{DEADLINE_MS, Deployment, MAX_TOKENS};
 use crate::harness::BenchError;
 use crate::harness::fleet::Fleet;
 use crate::harness::report::{Times, times};
 
-/// The script breakdowns of one workspace.
+/// Number of script breakdowns per workspace.
 const SCRIPTS: usize = 2;
 
-/// The bytes of a script breakdown, which many prompts share.
+/// Size of a script breakdown in bytes; it is the common prefix of many prompts.
 const SCRIPT_BYTES: usize = 4_096;
 
-/// The time from the start of a step after which tokens are counted.
-const WARM: Duration = Duration::from_secs(3);
+/// Time from the start of a step during which tokens are not counted.
+const WARM_UP: Duration = Duration::from_secs(3);
 
-/// What a step showed.
+/// The measurements of a step.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Step {
-    /// The offered load in percent of the capacity.
+    /// Offered load in percent of the capacity.
     pub(super) load: u64,
-    /// The requests sent.
+    /// Requests sent.
     pub(super) offered: u64,
-    /// Those with a whole answer.
+    /// Requests with a complete answer.
     pub(super) served: u64,
-    /// Those refused as not run.
+    /// Requests refused as not executed.
     pub(super) shed: u64,
-    /// All others.
+    /// All other requests.
     pub(super) failed: u64,
-    /// The time to the first token.
+    /// Time to the first token, of served requests.
     pub(super) ttft_ms: Times,
-    /// The time between tokens.
+    /// Time between events with tokens, of served requests.
     pub(super) gap_ms: Times,
-    /// The time to a refusal.
+    /// Time to a refusal.
     pub(super) shed_ms: Times,
-    /// Jain's index over the workspaces that ask for more than their share; 1 if none does.
+    /// Jain's fairness index over the workspaces that request more than their share; 1 if none
+    /// does.
     pub(super) fairness: f64,
-    /// The part of prompt tokens found in the engines' caches.
+    /// Fraction of prompt tokens found in the engines' prefix caches.
     pub(super) prefix_hits: f64,
-    /// The answers whose first token came after the deadline.
+    /// Served requests whose first token came after the deadline.
     pub(super) late: u64,
-    /// The tokens a second of answers in time.
+    /// Tokens per second of served requests that met the deadline, after the warm-up.
     pub(super) goodput: f64,
-    /// The engine streams beyond one for each answer.
+    /// Streams opened at engines in excess of one per served request.
     pub(super) extra_streams: i64,
 }
 
-/// One request to be sent at its time.
+/// A request, with the time from the start of the step at which to send it.
 struct Arrival {
     at: Duration,
     workspace: usize,
-    ask: Ask,
+    request: LoadRequest,
 }
 
-/// Offers one load for some seconds and waits for all answers.
+/// Offers a load, in percent of the capacity, for the given time and waits for all answers.
 pub(super) async fn run(
     fleet: &Fleet,
     deployment: &Deployment,
@@ -70,39 +71,39 @@
     seed: u64,
     seconds: u64,
 ) -> Result<Step, BenchError> {
-    let span = Duration::from_secs(seconds);
-    let arrivals = arrivals(fleet, deployment, load, seed, span);
-    let spaces: Vec<usize> = arrivals.iter().map(|a| a.workspace).collect();
+    let duration = Duration::from_secs(seconds);
+    let arrivals = arrivals(fleet, deployment, load, seed, duration);
+    let workspaces: Vec<usize> = arrivals.iter().map(|a| a.workspace).collect();
     let before = stats(fleet).await?;
     let start = Instant::now();
     let send = |arrival: Arrival| async move {
         sleep_until(start + arrival.at).await;
-        arrival.ask.run().await
+        arrival.request.run().await
     };
     let tasks = arrivals.into_iter().map(|a| tokio::spawn(send(a)));
     let joined = join_all(tasks).await;
-    let seen: Vec<(usize, Seen)> = spaces
+    let results: Vec<(usize, RequestResult)> = workspaces
         .into_iter()
         .zip(joined)
-        .filter_map(|(space, seen)| Some((space, seen.ok()?)))
+        .filter_map(|(workspace, result)| Some((workspace, result.ok()?)))
         .collect();
     let after = stats(fleet).await?;
     Ok(summary(
         deployment,
         load,
-        &seen,
-        start..start + span,
+        &results,
+        start..start + duration,
         (before, after),
     ))
 }
 
-/// Random arrivals at a constant rate, at random hosts.
+/// Draws Poisson arrivals at a constant rate, at random hosts.
 fn arrivals(
     fleet: &Fleet,
     deployment: &Deployment,
     load: u64,
     seed: u64,
-    span: Duration,
+    duration: Duration,
 ) -> Vec<Arrival> {
     let mut random = StdRng::seed_from_u64(seed ^ (load << 32));
     let rate = deployment.capacity() * load as f64 / 100.0;
@@ -111,41 +112,45 @@
     loop {
         let unit: f64 = random.random_range(f64::EPSILON..1.0);
         at += Duration::from_secs_f64(-unit.ln() / rate);
-        if at >= span {
+        if at >= duration {
             return all;
         }
-        let workspace = draw_space(deployment, random.random_range(0..1_000));
+        let workspace = draw_workspace(deployment, random.random_range(0..1_000));
         let host = random.random_range(0..fleet.hosts.len());
         let script = random.random_range(0..SCRIPTS);
         let scene: u64 = random.random();
         let name = &deployment.workspaces[workspace].name;
-        let ask = Ask {
+        let request = LoadRequest {
             host: fleet.hosts[host].callers,
             bearer: name.clone(),
             service: deployment.service.to_owned(),
             prompt: prompt(name, script, scene),
-            max_tokens: TOKENS,
+            max_tokens: MAX_TOKENS,
         };
-        all.push(Arrival { at, workspace, ask });
+        all.push(Arrival {
+            at,
+            workspace,
+            request,
+        });
     }
 }
 
-/// The workspace of a number below 1,000.
-fn draw_space(deployment: &Deployment, number: u64) -> usize {
+/// The index of the workspace to which a number below 1,000 falls, by their thousandths.
+fn draw_workspace(deployment: &Deployment, number: u64) -> usize {
     let mut sum = 0;
-    let is_past = |part: u64| {
-        sum += part;
+    let is_drawn = |per_mille: u64| {
+        sum += per_mille;
         number < sum
     };
     let found = deployment
         .workspaces
         .iter()
-        .map(|w| w.part)
-        .position(is_past);
+        .map(|w| w.per_mille)
+        .position(is_drawn);
     found.unwrap_or(0)
 }
 
-/// A script breakdown shared by many prompts, and one scene.
+/// A prompt that consists of a shared script breakdown and one scene.
 fn prompt(workspace: &str, script: usize, scene: u64) -> String {
     let line = format!("{workspace}, script {script}: interior, night, two cast, one vehicle. ");
     let mut text = line.repeat(SCRIPT_BYTES / line.len() + 1);
@@ -153,7 +158,7 @@
     text + &format!("Draft the schedule of scene {scene:016x}.")
 }
 
-/// What all engines have done.
+/// Sums the prefill, cache and stream counters of all engines.
 async fn stats(fleet: &Fleet) -> Result<Stats, BenchError> {
     let mut sum = Stats::default();
     for i in 0..fleet.engines.len() {
@@ -168,22 +173,23 @@
 fn summary(
     deployment: &Deployment,
     load: u64,
-    seen: &[(usize, Seen)],
+    results: &[(usize, RequestResult)],
     window: std::ops::Range<Instant>,
     (before, after): (Stats, Stats),
 ) -> Step {
-    let count = |end: End| seen.iter().filter(|(_, s)| s.end == end).count() as u64;
-    let first = |s: &Seen| Some(s.arrivals.first()?.0 - s.sent);
+    let count =
+        |outcome: Outcome| results.iter().filter(|(_, s)| s.outcome == outcome).count() as u64;
+    let first = |s: &RequestResult| Some(s.arrivals.first()?.0 - s.sent);
     let deadline = Duration::from_millis(DEADLINE_MS);
-    let is_late = |s: &Seen| first(s).is_some_and(|t| t > deadline);
-    let served: Vec<&Seen> = seen
+    let is_late = |s: &RequestResult| first(s).is_some_and(|t| t > deadline);
+    let served: Vec<&RequestResult> = results
         .iter()
-        .filter(|(_, s)| s.end == End::Served)
+        .filter(|(_, s)| s.outcome == Outcome::Served)
         .map(|(_, s)| s)
         .collect();
-    let shed = seen.iter().filter(|(_, s)| s.end == End::Shed);
-    let counted = window.start + WARM..window.end;
-    let tokens = |s: &Seen| -> u64 {
+    let shed = results.iter().filter(|(_, s)| s.outcome == Outcome::Shed);
+    let counted = window.start + WARM_UP..window.end;
+    let tokens = |s: &RequestResult| -> u64 {
         let within = s.arrivals.iter().filter(|(at, _)| counted.contains(at));
         within.map(|(_, count)| count).sum()
     };
@@ -192,14 +198,14 @@
     let prompts = (after.cached + after.prefill) - (before.cached + before.prefill);
     Step {
         load,
-        offered: seen.len() as u64,
-        served: count(End::Served),
-        shed: count(End::Shed),
-        failed: count(End::Failed),
+        offered: results.len() as u64,
+        served: count(Outcome::Served),
+        shed: count(Outcome::Shed),
+        failed: count(Outcome::Failed),
         ttft_ms: times(served.iter().filter_map(|s| first(s))),
         gap_ms: times(served.iter().flat_map(|s| gaps(s))),
         shed_ms: times(shed.map(|(_, s)| s.ended - s.sent)),
-        fairness: fairness(deployment, seen, tokens),
+        fairness: fairness(deployment, results, tokens),
         prefix_hits: (after.cached - before.cached) as f64 / prompts.max(1) as f64,
         late: served.iter().filter(|s| is_late(s)).count() as u64,
         goodput: in_time.map(|s| tokens(s)).sum::<u64>() as f64 / seconds,
@@ -207,27 +213,36 @@
     }
 }
 
-/// The times between events with tokens.
-fn gaps(seen: &Seen) -> Vec<Duration> {
-    let pairs = seen.arrivals.windows(2);
+/// Times between consecutive events with tokens.
+fn gaps(result: &RequestResult) -> Vec<Duration> {
+    let pairs = result.arrivals.windows(2);
     pairs.map(|pair| pair[1].0 - pair[0].0).collect()
 }
 
-/// Jain's index of tokens by share over the workspaces that ask for more than their share.
-fn fairness(deployment: &Deployment, seen: &[(usize, Seen)], tokens: impl Fn(&Seen) -> u64) -> f64 {
-    let of = |i: usize| seen.iter().filter(move |(space, _)| *space == i);
-    let got: Vec<u64> = (0..deployment.workspaces.len())
-        .map(|i| of(i).map(|(_, s)| tokens(s)).sum())
+/// Jain's fairness index of tokens per share, over the workspaces that request more than their
+/// share and had requests shed.
+fn fairness(
+    deployment: &Deployment,
+    results: &[(usize, RequestResult)],
+    tokens: impl Fn(&RequestResult) -> u64,
+) -> f64 {
+    let results_of = |i: usize| results.iter().filter(move |(workspace, _)| *workspace == i);
+    let received: Vec<u64> = (0..deployment.workspaces.len())
+        .map(|i| results_of(i).map(|(_, s)| tokens(s)).sum())
         .collect();
-    let served = seen.iter().filter(|(_, s)| s.end == End::Served).count();
+    let served = results
+        .iter()
+        .filter(|(_, s)| s.outcome == Outcome::Served)
+        .count();
     let shares: u32 = deployment.workspaces.iter().map(|w| w.share).sum();
-    let asks_more = |i: &usize| {
+    let exceeds_share = |i: &usize| {
         let share = f64::from(deployment.workspaces[*i].share) / f64::from(shares);
-        of(*i).count() as f64 > served as f64 * share && of(*i).any(|(_, s)| s.end == End::Shed)
+        results_of(*i).count() as f64 > served as f64 * share
+            && results_of(*i).any(|(_, s)| s.outcome == Outcome::Shed)
     };
     let rates: Vec<f64> = (0..deployment.workspaces.len())
-        .filter(asks_more)
-        .map(|i| got[i] as f64 / f64::from(deployment.workspaces[i].share))
+        .filter(exceeds_share)
+        .map(|i| received[i] as f64 / f64::from(deployment.workspaces[i].share))
         .collect();
     let sum: f64 = rates.iter().sum();
     let squares: f64 = rates.iter().map(|r| r * r).sum();
--- a/crates/gooseberry-bench/src/slopes/work.rs
+++ b/crates/gooseberry-bench/src/slopes/work.rs
@@ -1,4 +1,4 @@
-//! Streams that are opened together, and the processes that carry them.
+//! Batches of concurrent streams, and the deployment that serves them.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -9,15 +9,16 @@
 
 use crate::demo;
 use crate::harness::fleet::{Fleet, PlainPlan, Plan};
-use crate::load::caller::{Ask, End};
+use crate::load::caller::{LoadRequest, Outcome};
 
-/// The streams that one engine generates at once: more than any run opens.
+/// Concurrent streams and queue length per engine; more than any run opens, so that no stream
+/// waits.
 const SLOTS: usize = 1_000;
 
-/// The prompt, in front of a number.
+/// Start of each prompt; the numbers of the stream and of the tokens follow.
 const PROMPT: &str = "Break the script down into tomorrow's schedule, scene";
 
-/// Entry hosts and engines in one data centre.
+/// A deployment with all entry hosts and engines in one data centre.
 pub(crate) fn plan(hosts: usize, engines: usize, gap_ms: u64) -> Plan {
     let here = DataCentre::from("vn-south-a");
     let mut document = demo::document();
@@ -38,27 +39,27 @@
     }
 }
 
-/// Streams under way.
+/// Streams in flight.
 pub(crate) struct Batch {
-    tasks: Vec<JoinHandle<End>>,
+    tasks: Vec<JoinHandle<Outcome>>,
     tokens: Arc<AtomicU64>,
 }
 
-/// What a batch came to.
+/// The result of a batch.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Served {
-    /// The streams with a whole answer.
-    pub(crate) whole: usize,
-    /// The tokens received.
+pub(crate) struct BatchResult {
+    /// Streams with a complete answer.
+    pub(crate) complete: usize,
+    /// Tokens received over all streams.
     pub(crate) tokens: u64,
 }
 
 impl Batch {
-    /// Opens `count` streams of at most `tokens` tokens at all hosts in turn.
+    /// Opens `count` streams of at most `tokens` tokens, distributed round-robin over the hosts.
     pub(crate) fn start(fleet: &Fleet, count: usize, tokens: u64) -> Self {
         let received = Arc::new(AtomicU64::new(0));
         let open = |i: usize| {
-            let ask = Ask {
+            let request = LoadRequest {
                 host: fleet.hosts[i % fleet.hosts.len()].callers,
                 bearer: demo::BEARER.to_owned(),
                 service: "draft-model".to_owned(),
@@ -68,10 +69,11 @@
             let received = received.clone();
             tokio::spawn(async move {
                 let mut arrivals = Vec::new();
-                ask.read(&mut arrivals, |count| {
-                    received.fetch_add(count, Ordering::Relaxed);
-                })
-                .await
+                request
+                    .read(&mut arrivals, |count| {
+                        received.fetch_add(count, Ordering::Relaxed);
+                    })
+                    .await
             })
         };
         Self {
@@ -80,24 +82,24 @@
         }
     }
 
-    /// The tokens received so far.
+    /// Tokens received so far over all streams.
     pub(crate) fn tokens(&self) -> u64 {
         self.tokens.load(Ordering::Relaxed)
     }
 
     /// Waits for all streams to end.
-    pub(crate) async fn finish(self) -> Served {
-        let mut whole = 0;
+    pub(crate) async fn finish(self) -> BatchResult {
+        let mut complete = 0;
         for task in self.tasks {
-            whole += usize::from(task.await.is_ok_and(|end| end == End::Served));
+            complete += usize::from(task.await.is_ok_and(|outcome| outcome == Outcome::Served));
         }
-        Served {
-            whole,
+        BatchResult {
+            complete,
             tokens: self.tokens.load(Ordering::Relaxed),
         }
     }
 
-    /// Leaves all streams.
+    /// Drops the connections of all streams.
     pub(crate) fn abort(self) {
         self.tasks.iter().for_each(JoinHandle::abort);
     }
