--- a/crates/gooseberry-agent/src/operate.rs
+++ b/crates/gooseberry-agent/src/operate.rs
@@ -10,7 +10,7 @@
 use hyper::header::AUTHORIZATION;
 use hyper::{Method, Request, StatusCode};
 use peer::link::AgentLink;
-use peer::operator::{Difference, HostState, Shown};
+use peer::operator::{CurrentConfig, Difference, HostState};
 use profiles::change::{Proposal, Refusal, Revision, diff};
 use profiles::commit::Outcome;
 use profiles::document::Document;
@@ -79,7 +79,7 @@
 async fn show(agent: &Agent) -> Response {
     let is_fresh = read_store(agent).await.is_ok();
     let document = agent.read(|k| k.held.document().clone());
-    reply::json(StatusCode::OK, &Shown { document, is_fresh })
+    reply::json(StatusCode::OK, &CurrentConfig { document, is_fresh })
 }
 
 async fn history(agent: &Agent) -> Response {
--- a/crates/gooseberry-agent/src/run.rs
+++ b/crates/gooseberry-agent/src/run.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use membership::Members;
-use peer::agent::{About, Ask};
+use peer::agent::{About, ChangesRequest};
 use peer::serve::AgentServer;
 use settings::agent::Agent as Settings;
 use thiserror::Error;
@@ -66,7 +66,7 @@
                 agent.view(version)
             }
         },
-        changes: move |ask: Ask| {
+        changes: move |ask: ChangesRequest| {
             let agent = asked.clone();
             async move { spread::answer(&agent, ask).await }
         },
--- a/crates/gooseberry-agent/src/spread.rs
+++ b/crates/gooseberry-agent/src/spread.rs
@@ -10,7 +10,7 @@
 use base::prelude::*;
 use base::sorted::Sorted;
 use futures_util::future::{join, join_all};
-use peer::agent::{Ask, Changes};
+use peer::agent::{Changes, ChangesRequest};
 use peer::link::{AgentLink, LinkError};
 use profiles::cache::Update;
 use profiles::topology::{Role, role};
@@ -138,7 +138,7 @@
 }
 
 /// Answers an agent that follows this one.
-pub async fn answer(agent: &Agent, ask: Ask) -> Changes {
+pub async fn answer(agent: &Agent, ask: ChangesRequest) -> Changes {
     let mut signal = agent.spread.signal.subscribe();
     let was_fresh = signal.borrow_and_update().is_fresh;
     let is_news = |s: &Signal| s.version > ask.after || s.is_fresh != was_fresh;
@@ -151,7 +151,7 @@
     agent.read(|known| Changes {
         version: known.held.version(),
         is_fresh,
-        news: if ask.is_brief {
+        update: if ask.version_only {
             Update::Changes(Vec::new())
         } else {
             known.held.update_since(ask.after)
@@ -226,17 +226,17 @@
 async fn ask_all(agent: &Agent, peers: &[SocketAddr]) -> usize {
     let calls = peers.iter().map(|addr| async {
         let link = AgentLink::new(*addr);
-        let ask = Ask {
+        let ask = ChangesRequest {
             after: agent.version(),
             wait_ms: 0,
-            is_brief: false,
+            version_only: false,
         };
         link.changes(ask, WAIT.duration()).await.ok()
     });
     let answers: Vec<Changes> = join_all(calls).await.into_iter().flatten().collect();
     let count = answers.len();
     for answer in answers {
-        adopt(agent, answer.news);
+        adopt(agent, answer.update);
     }
     count
 }
@@ -321,15 +321,15 @@
             self.link = None;
         }
         let link = self.link.get_or_insert_with(|| AgentLink::new(addr));
-        let ask = Ask {
+        let ask = ChangesRequest {
             after: agent.version(),
             wait_ms: wait.0,
-            is_brief,
+            version_only: is_brief,
         };
         match link.changes(ask, wait.duration() + GRACE).await {
             Ok(mut changes) => {
                 let empty = Update::Changes(Vec::new());
-                adopt(agent, std::mem::replace(&mut changes.news, empty));
+                adopt(agent, std::mem::replace(&mut changes.update, empty));
                 Some(changes)
             }
             Err(e) => {
--- a/crates/gooseberry-gateway/src/feed.rs
+++ b/crates/gooseberry-gateway/src/feed.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use base::prelude::*;
-use peer::host::Unserved;
+use peer::host::FeedError;
 use peer::serve::HostServer;
 use platform::store::{Row, Rows, Table};
 use tokio::net::TcpListener;
@@ -74,14 +74,14 @@
     ///
     /// # Errors
     ///
-    /// [`Unserved::Away`] if the host does not poll the store for them or the store does not answer;
-    /// [`Unserved::Behind`] if some of them have been evicted.
-    pub fn changes_after(&self, since: u64) -> Result<Rows, Unserved> {
+    /// [`FeedError::Unavailable`] if the host does not poll the store for them or the store does not answer;
+    /// [`FeedError::Evicted`] if some of them have been evicted.
+    pub fn changes_after(&self, since: u64) -> Result<Rows, FeedError> {
         if !self.is_available {
-            return Err(Unserved::Away);
+            return Err(FeedError::Unavailable);
         }
         if since < self.floor {
-            return Err(Unserved::Behind);
+            return Err(FeedError::Evicted);
         }
         let first = self.rows.partition_point(|r| r.revision <= since);
         Ok(Rows {
@@ -139,22 +139,22 @@
 ///
 /// # Errors
 ///
-/// [`Unserved`] as soon as this host cannot provide them, or is stopping.
+/// [`FeedError`] as soon as this host cannot provide them, or is stopping.
 pub async fn wait_for_changes(
     ctx: &Context,
     table: Table,
     since: u64,
     wait: Millis,
-) -> Result<Rows, Unserved> {
+) -> Result<Rows, FeedError> {
     let Some(feed) = ctx.feeds.table(table) else {
-        return Err(Unserved::Away);
+        return Err(FeedError::Unavailable);
     };
     let mut feed = feed.subscribe();
     let timeout = ctx.timer.after(wait);
     tokio::pin!(timeout);
     loop {
         if ctx.stopped().is_some() {
-            return Err(Unserved::Away);
+            return Err(FeedError::Unavailable);
         }
         let rows = feed.borrow_and_update().changes_after(since)?;
         if !rows.rows.is_empty() {
@@ -163,7 +163,7 @@
         tokio::select! {
             changed = feed.changed() => {
                 // Cannot fail: the sender lives as long as the context, which is borrowed here.
-                changed.map_err(|_| Unserved::Away)?;
+                changed.map_err(|_| FeedError::Unavailable)?;
             }
             () = &mut timeout => return Ok(rows),
         }
--- a/crates/gooseberry-gateway/tests/shared_feed.rs
+++ b/crates/gooseberry-gateway/tests/shared_feed.rs
@@ -7,7 +7,7 @@
 use gooseberry_gateway::metrics::Cause;
 use gooseberry_gateway::run::Gateway;
 use gooseberry_standin::faults::Switch;
-use peer::host::Unserved;
+use peer::host::FeedError;
 use platform::store::Row;
 use site::{Site, config, version};
 
@@ -19,7 +19,7 @@
     }
 }
 
-fn revisions(recent: &RecentChanges, since: u64) -> Result<Vec<u64>, Unserved> {
+fn revisions(recent: &RecentChanges, since: u64) -> Result<Vec<u64>, FeedError> {
     let rows = recent.changes_after(since)?;
     Ok(rows.rows.iter().map(|r| r.revision).collect())
 }
@@ -29,12 +29,12 @@
     let mut recent = RecentChanges::default();
     assert_eq!(
         revisions(&recent, 0),
-        Err(Unserved::Away),
+        Err(FeedError::Unavailable),
         "no table has been read"
     );
     recent.reset(10);
     recent.append(&[row(11, 1), row(13, 1)], 10, 15);
-    assert_eq!(revisions(&recent, 9), Err(Unserved::Behind));
+    assert_eq!(revisions(&recent, 9), Err(FeedError::Evicted));
     assert_eq!(revisions(&recent, 10), Ok(vec![11, 13]));
     assert_eq!(revisions(&recent, 11), Ok(vec![13]));
     assert_eq!(revisions(&recent, 14), Ok(vec![]));
@@ -45,7 +45,7 @@
         "the other host has a later revision"
     );
     recent.set_unavailable();
-    assert_eq!(revisions(&recent, 11), Err(Unserved::Away));
+    assert_eq!(revisions(&recent, 11), Err(FeedError::Unavailable));
     recent.append(&[row(16, 1)], 15, 16);
     assert_eq!(revisions(&recent, 11), Ok(vec![13, 16]));
 }
@@ -57,7 +57,7 @@
     recent.append(&[row(11, 1)], 10, 11);
     recent.set_unavailable();
     recent.append(&[row(30, 1)], 20, 30);
-    assert_eq!(revisions(&recent, 11), Err(Unserved::Behind));
+    assert_eq!(revisions(&recent, 11), Err(FeedError::Evicted));
     assert_eq!(revisions(&recent, 20), Ok(vec![30]));
 }
 
@@ -68,7 +68,7 @@
     for revision in 1..=100 {
         recent.append(&[row(revision, 10_000)], revision - 1, revision);
     }
-    assert_eq!(revisions(&recent, 0), Err(Unserved::Behind));
+    assert_eq!(revisions(&recent, 0), Err(FeedError::Evicted));
     let oldest = (0..100)
         .find(|since| recent.changes_after(*since).is_ok())
         .unwrap();
--- a/crates/gooseberryctl/src/client.rs
+++ b/crates/gooseberryctl/src/client.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use hyper::{Method, StatusCode};
-use peer::operator::{Difference, HostState, Shown};
+use peer::operator::{CurrentConfig, Difference, HostState};
 use profiles::change::{Proposal, Revision};
 use profiles::commit::Outcome;
 use profiles::document::Document;
@@ -56,7 +56,7 @@
     /// # Errors
     ///
     /// `Call` or `Unauthorized`.
-    pub async fn show(&self) -> Result<Shown, CommandError> {
+    pub async fn show(&self) -> Result<CurrentConfig, CommandError> {
         self.call(Method::GET, "/v1/config", &()).await
     }
 
--- a/crates/peer/src/agent.rs
+++ b/crates/peer/src/agent.rs
@@ -85,7 +85,8 @@
     /// Whether it has heard lately, itself or through others, what the platform holds.
     pub is_fresh: bool,
     /// What the asker lacks.
-    pub news: Update,
+    #[serde(rename = "news")]
+    pub update: Update,
 }
 
 /// What an agent says of itself.
@@ -103,13 +104,14 @@
 
 /// What an agent asks another one of the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct ChangesRequest {
     /// The version that the asker holds.
     pub after: Version,
     /// How long the answer may be held back while there is nothing new, in milliseconds.
     pub wait_ms: u64,
     /// Whether only the version is wanted.
-    pub is_brief: bool,
+    #[serde(rename = "is_brief")]
+    pub version_only: bool,
 }
 
 /// Calls that an agent takes.
@@ -121,7 +123,7 @@
     async fn view(revision: u64, version: Version, wait_ms: u64) -> View;
 
     /// The configuration's newer versions, once there are any or the wait has passed.
-    async fn changes(ask: Ask) -> Changes;
+    async fn changes(ask: ChangesRequest) -> Changes;
 
     /// The agent itself.
     async fn about() -> About;
--- a/crates/peer/src/host.rs
+++ b/crates/peer/src/host.rs
@@ -7,11 +7,15 @@
 /// Why a host does not tell the changes of a table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, IntoStaticStr, Serialize, Deserialize)]
 #[strum(serialize_all = "snake_case")]
-pub enum Unserved {
+pub enum FeedError {
     /// It does not follow the table at the store, or cannot reach it.
-    Away,
+    #[strum(serialize = "away")]
+    #[serde(rename = "Away")]
+    Unavailable,
     /// It no longer holds the changes asked for.
-    Behind,
+    #[strum(serialize = "behind")]
+    #[serde(rename = "Behind")]
+    Evicted,
 }
 
 /// Calls that an entry host takes from those of its data centre.
@@ -19,5 +23,5 @@
 pub trait HostPeer {
     /// The changes of `table` behind the revision `since`, as soon as there are any; none if there are
     /// none within `wait_ms`.
-    async fn changes(table: Table, since: u64, wait_ms: u64) -> Result<Rows, Unserved>;
+    async fn changes(table: Table, since: u64, wait_ms: u64) -> Result<Rows, FeedError>;
 }
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -17,18 +17,18 @@
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 use tokio_util::io::{InspectReader, InspectWriter};
 
-use crate::agent::{About, AgentPeerClient, Ask, Changes, View};
-use crate::host::{HostPeerClient, Unserved};
+use crate::agent::{About, AgentPeerClient, Changes, ChangesRequest, View};
+use crate::host::{FeedError, HostPeerClient};
 use crate::router::{RouterPeerClient, Sealed};
 
 /// The largest message between processes, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 64 * 1024 * 1024;
 
 /// The longest wait for a connection.
-const CONNECT_LIMIT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Time beyond which the transport itself gives up a call that the caller has already given up.
-const GRACE: Duration = Duration::from_millis(200);
+const TRANSPORT_GRACE: Duration = Duration::from_millis(200);
 
 /// Why a peer gave no answer.
 #[derive(Debug, Error)]
@@ -43,7 +43,7 @@
     },
     /// The call was sent and not answered.
     #[error("peer {addr} gave no answer: {cause}; the call may have been received")]
-    Lost {
+    Unanswered {
         /// The address.
         addr: SocketAddr,
         /// The cause.
@@ -52,17 +52,17 @@
 }
 
 /// A connection whose bytes are counted.
-type Counted = InspectReader<InspectWriter<TcpStream, fn(&[u8])>, fn(&[u8])>;
+type CountedStream = InspectReader<InspectWriter<TcpStream, fn(&[u8])>, fn(&[u8])>;
 
 /// A connection as a sequence of messages.
-pub(crate) type Frames = Framed<Counted, LengthDelimitedCodec>;
+pub(crate) type Frames = Framed<CountedStream, LengthDelimitedCodec>;
 
 /// The messages of a connection, on either side.
 pub(crate) fn frames(stream: TcpStream) -> Frames {
     // Without this, small frames wait for the peer's delayed acknowledgement.
     let _ = stream.set_nodelay(true);
     let written: InspectWriter<_, fn(&[u8])> = InspectWriter::new(stream, traffic::sent);
-    let counted: Counted = InspectReader::new(written, traffic::received);
+    let counted: CountedStream = InspectReader::new(written, traffic::received);
     let codec = LengthDelimitedCodec::builder()
         .max_frame_length(MAX_MESSAGE_BYTES)
         .new_codec();
@@ -99,11 +99,11 @@
                     return Ok((client.clone(), true));
                 }
                 let addr = self.addr;
-                let refused = |cause: String| LinkError::Connect { addr, cause };
-                let stream = timeout(CONNECT_LIMIT, TcpStream::connect(addr))
+                let connect_error = |cause: String| LinkError::Connect { addr, cause };
+                let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(addr))
                     .await
-                    .map_err(|e| refused(e.to_string()))?
-                    .map_err(|e| refused(e.to_string()))?;
+                    .map_err(|e| connect_error(e.to_string()))?
+                    .map_err(|e| connect_error(e.to_string()))?;
                 let format = tokio_serde::formats::MessagePack::default();
                 let transport = tarpc::serde_transport::new(frames(stream), format);
                 let client = $client::new(tarpc::client::Config::default(), transport).spawn();
@@ -149,14 +149,14 @@
                 F: Future<Output = Result<T, RpcError>>,
             {
                 let addr = self.addr;
-                let lost = |cause: String| LinkError::Lost { addr, cause };
+                let unanswered = |cause: String| LinkError::Unanswered { addr, cause };
                 let mut context = context::current();
-                context.deadline = deadline + GRACE;
+                context.deadline = deadline + TRANSPORT_GRACE;
                 let left = deadline.saturating_duration_since(Instant::now());
                 let answer = match timeout(left, run(client, context)).await {
                     Ok(Ok(answer)) => return Ok(answer),
-                    Ok(Err(e)) => lost(e.to_string()),
-                    Err(e) => lost(e.to_string()),
+                    Ok(Err(e)) => unanswered(e.to_string()),
+                    Err(e) => unanswered(e.to_string()),
                 };
                 self.reset().await;
                 Err(answer)
@@ -194,7 +194,7 @@
         since: u64,
         wait: Millis,
         limit: Duration,
-    ) -> Result<Result<Rows, Unserved>, LinkError> {
+    ) -> Result<Result<Rows, FeedError>, LinkError> {
         self.call(limit, |c, ctx| async move {
             c.changes(ctx, table, since, wait.0).await
         })
@@ -282,7 +282,11 @@
     /// # Errors
     ///
     /// Any [`LinkError`].
-    pub async fn changes(&self, ask: Ask, limit: Duration) -> Result<Changes, LinkError> {
+    pub async fn changes(
+        &self,
+        ask: ChangesRequest,
+        limit: Duration,
+    ) -> Result<Changes, LinkError> {
         self.call(limit, |c, ctx| async move { c.changes(ctx, ask).await })
             .await
     }
--- a/crates/peer/src/operator.rs
+++ b/crates/peer/src/operator.rs
@@ -9,7 +9,7 @@
 
 /// The answer to `GET /v1/config`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Shown {
+pub struct CurrentConfig {
     /// The document.
     pub document: Document,
     /// Whether it is certainly the accepted one; else the platform is away.
--- a/crates/peer/src/serve.rs
+++ b/crates/peer/src/serve.rs
@@ -11,8 +11,8 @@
 use tokio_serde::formats::MessagePack;
 use tokio_util::sync::CancellationToken;
 
-use crate::agent::{About, AgentPeer, Ask, Changes, View};
-use crate::host::{HostPeer, Unserved};
+use crate::agent::{About, AgentPeer, Changes, ChangesRequest, View};
+use crate::host::{FeedError, HostPeer};
 use crate::link::{Frames, frames};
 use crate::router::{RouterPeer, Sealed};
 
@@ -71,13 +71,13 @@
 where
     V: Fn(u64, Version, Millis) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = View> + Send + 'static,
-    C: Fn(Ask) -> G + Clone + Send + Sync + 'static,
+    C: Fn(ChangesRequest) -> G + Clone + Send + Sync + 'static,
     G: Future<Output = Changes> + Send + 'static,
     A: Fn() -> About + Clone + Send + Sync + 'static,
     H: Fn(Heartbeat) -> Heartbeat + Clone + Send + Sync + 'static,
     L: Fn() + Clone + Send + Sync + 'static,
 {
-    async fn changes(self, _: Context, ask: Ask) -> Changes {
+    async fn changes(self, _: Context, ask: ChangesRequest) -> Changes {
         (self.changes)(ask).await
     }
 
@@ -108,7 +108,7 @@
 impl<C, F> HostPeer for HostServer<C>
 where
     C: Fn(Table, u64, Millis) -> F + Clone + Send + Sync + 'static,
-    F: Future<Output = Result<Rows, Unserved>> + Send + 'static,
+    F: Future<Output = Result<Rows, FeedError>> + Send + 'static,
 {
     async fn changes(
         self,
@@ -116,7 +116,7 @@
         table: Table,
         since: u64,
         wait_ms: u64,
-    ) -> Result<Rows, Unserved> {
+    ) -> Result<Rows, FeedError> {
         (self.changes)(table, since, Millis(wait_ms)).await
     }
 }
@@ -147,7 +147,7 @@
 ) where
     V: Fn(u64, Version, Millis) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = View> + Send + 'static,
-    C: Fn(Ask) -> G + Clone + Send + Sync + 'static,
+    C: Fn(ChangesRequest) -> G + Clone + Send + Sync + 'static,
     G: Future<Output = Changes> + Send + 'static,
     A: Fn() -> About + Clone + Send + Sync + 'static,
     H: Fn(Heartbeat) -> Heartbeat + Clone + Send + Sync + 'static,
@@ -171,7 +171,7 @@
 pub async fn host<C, F>(listener: TcpListener, stop: CancellationToken, server: HostServer<C>)
 where
     C: Fn(Table, u64, Millis) -> F + Clone + Send + Sync + 'static,
-    F: Future<Output = Result<Rows, Unserved>> + Send + 'static,
+    F: Future<Output = Result<Rows, FeedError>> + Send + 'static,
 {
     accept(listener, stop, |stream| {
         let transport = tarpc::serde_transport::new(stream, MessagePack::default());
--- a/crates/peer/tests/beat_size.rs
+++ b/crates/peer/tests/heartbeat_traffic.rs
@@ -16,10 +16,10 @@
 const AGENTS: u64 = 34;
 
 /// The backend servers of a data centre.
-const SERVERS: u64 = 450;
+const BACKENDS: u64 = 450;
 
 /// What a node may send and receive for control, in bytes a second.
-const BUDGET: u64 = 11_000;
+const BUDGET_BYTES_S: u64 = 11_000;
 
 /// What the transport adds to a beat: the length, the call's number, deadline and trace.
 const CALL_BYTES: u64 = 64;
@@ -28,58 +28,58 @@
 const POLL_BYTES: u64 = 350;
 
 /// The time from a server's word to no new work, in milliseconds.
-const KNOWN_MS: u64 = 3_000;
+const LEAVING_KNOWN_MS: u64 = 3_000;
 
 /// How long is measured, in seconds.
-const SPAN_S: u64 = 16;
+const MEASURED_S: u64 = 16;
 
 #[test]
-fn beats_fit_the_budget() {
+fn heartbeats_fit_traffic_budget() {
     let mut sim = Sim::default();
     for i in 0..AGENTS {
         sim.add_host(&format!("entry-{i}"), "vn-south-a");
     }
-    for i in 0..SERVERS {
+    for i in 0..BACKENDS {
         sim.add_server(&format!("engine-{i}"), "vn-south-a");
     }
     for i in 0..AGENTS {
         sim.start(&format!("entry-{i}"), i + 1);
     }
     sim.run(Millis(10_000));
-    knows_in_time(&mut sim);
-    sim.measure = Some(size);
+    assert_leaving_known_in_time(&mut sim);
+    sim.measure = Some(wire_size);
     sim.polls = 0;
-    for second in 0..SPAN_S {
+    for second in 0..MEASURED_S {
         // Each load moves by up to a quarter of the slots within eight seconds.
-        for i in 0..SERVERS {
+        for i in 0..BACKENDS {
             let phase = (second + i) % 8;
             sim.server(&format!("engine-{i}")).report.running = 8 + phase;
         }
         sim.run(Millis(1_000));
     }
-    let beats = sim.sizes.len() as u64;
+    let heartbeats = sim.sizes.len() as u64;
     let bytes: u64 = sim.sizes.iter().sum();
     // Each beat is sent by one node and received by another.
-    let beat_rate = 2 * (bytes + beats * CALL_BYTES) / SPAN_S / AGENTS;
-    let poll_rate = sim.polls * POLL_BYTES / SPAN_S / AGENTS;
+    let beat_rate = 2 * (bytes + heartbeats * CALL_BYTES) / MEASURED_S / AGENTS;
+    let poll_rate = sim.polls * POLL_BYTES / MEASURED_S / AGENTS;
     println!(
         "beat_bytes={} beats_s={} beat_rate={beat_rate} poll_rate={poll_rate} polls_s={}",
-        bytes / beats,
-        2 * beats / SPAN_S / AGENTS,
-        sim.polls / SPAN_S / AGENTS
+        bytes / heartbeats,
+        2 * heartbeats / MEASURED_S / AGENTS,
+        sim.polls / MEASURED_S / AGENTS
     );
     assert!(
-        beat_rate + poll_rate < BUDGET,
+        beat_rate + poll_rate < BUDGET_BYTES_S,
         "{beat_rate} + {poll_rate} bytes a second"
     );
 }
 
 /// A server that says that it leaves is known to every agent in time.
-fn knows_in_time(sim: &mut Sim) {
-    for i in (0..SERVERS).step_by(60) {
+fn assert_leaving_known_in_time(sim: &mut Sim) {
+    for i in (0..BACKENDS).step_by(60) {
         let name = BackendId(format!("engine-{i}"));
         sim.server(name.as_str()).report.leaving = true;
-        sim.run(Millis(KNOWN_MS));
+        sim.run(Millis(LEAVING_KNOWN_MS));
         for agent in &sim.agents {
             let members = agent.members.iter();
             let mut found = members
@@ -92,8 +92,8 @@
 }
 
 /// The bytes of a beat as it travels.
-fn size(beat: &Heartbeat) -> u64 {
+fn wire_size(heartbeat: &Heartbeat) -> u64 {
     let mut format: MessagePack<Heartbeat, Heartbeat> = MessagePack::default();
-    let bytes = Pin::new(&mut format).serialize(beat);
+    let bytes = Pin::new(&mut format).serialize(heartbeat);
     bytes.map_or(0, |b| b.len() as u64)
 }
