--- a/crates/peer/src/agent.rs
+++ b/crates/peer/src/agent.rs
@@ -1,4 +1,4 @@
-//! What an agent tells the router of its host and other agents.
+//! Calls that an agent answers for the router of its host and for other agents.
 
 use std::net::SocketAddr;
 
@@ -8,128 +8,133 @@
 use profiles::document::Document;
 use serde::{Deserialize, Serialize};
 
-/// An entry host, as an agent sees it.
+/// An entry host in the view of an agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostView {
     /// The host.
     pub host: HostId,
     /// Its data centre.
     pub data_centre: DataCentre,
-    /// Where its router takes calls of its peers.
+    /// Address on which its router accepts peer calls.
     pub router: SocketAddr,
-    /// Where its agent takes calls of its peers.
+    /// Address on which its agent accepts peer calls.
     pub agent: SocketAddr,
-    /// The life of its agent, if it was heard of.
+    /// Incarnation of its agent; `None` until one has been reported.
     pub incarnation: Option<Incarnation>,
-    /// Whether it takes no new work.
+    /// Whether it is leaving, and gets no new work.
     pub leaving: bool,
-    /// Whether it is reachable.
+    /// Whether it can be taken as running: alive, or listed without a message so far. Always true for the
+    /// agent's own host.
     pub alive: bool,
 }
 
-/// A backend server, as an agent sees it.
+/// A backend server in the view of an agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendView {
     /// The backend server.
     pub backend: BackendId,
-    /// The service of which it is a part.
+    /// The service that it belongs to.
     pub service: ServiceName,
     /// Its data centre.
     pub data_centre: DataCentre,
-    /// Where it takes requests.
+    /// Address on which it accepts requests.
     pub addr: SocketAddr,
-    /// Its life, if it has reported.
+    /// Its incarnation; `None` until one has been reported.
     pub incarnation: Option<Incarnation>,
-    /// Whether it takes no new work.
+    /// Whether it is leaving, and gets no new work.
     pub leaving: bool,
-    /// Whether it answers.
+    /// Whether it answers the polls of agents.
     pub alive: bool,
-    /// The requests that it runs.
+    /// Number of running requests.
     pub running: u64,
-    /// The requests that wait there.
+    /// Number of queued requests.
     pub queued: u64,
-    /// The most requests that it runs at once; 0 if unknown.
+    /// Maximum number of concurrent requests; 0 if unknown.
     pub slots: u64,
-    /// The models that it holds.
+    /// The models that it has loaded.
     pub models: Vec<Model>,
-    /// The age of the report when the agent got it, in milliseconds.
+    /// Age of its load figures when the agent built the view, in milliseconds; 0 if there are none.
     pub age_ms: u64,
-    /// The hashes of prompt blocks that it holds, sorted.
+    /// Hashes of the prompt blocks in its KV cache, sorted.
     pub blocks: Vec<u64>,
 }
 
-/// All that an agent knows that its router needs.
+/// The state of the deployment, as an agent provides it to the router of its host.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct View {
-    /// The number of changes of the view in this life of the agent.
+    /// Sequence number of the view within this incarnation of the agent; starts at 1.
     pub revision: u64,
-    /// The life of the agent.
+    /// Incarnation of the agent.
     pub incarnation: Incarnation,
-    /// The configuration; `None` if the asker has this version.
+    /// The configuration; `None` if the router already has this version.
     pub document: Option<Document>,
-    /// The version of the configuration; 0 if there is none.
+    /// Version of the configuration; 0 if there is none.
     pub version: Version,
     /// The entry hosts, sorted by name.
     pub hosts: Vec<HostView>,
     /// The backend servers, sorted by name.
     pub backends: Vec<BackendView>,
-    /// Whether this host is to take no new work.
+    /// Whether this host is leaving, and its router must accept no new work.
     pub drain: bool,
 }
 
-/// What an agent tells another one of the configuration.
+/// Configuration changes, the answer to a [`ChangesRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Changes {
-    /// The version that it holds; 0 if it holds none.
+    /// The version that the answering agent holds; 0 if it holds none.
     pub version: Version,
-    /// Whether it has heard lately, itself or through others, what the platform holds.
+    /// Whether the answering agent has recently read the version at the platform, itself or through
+    /// other agents.
     pub is_fresh: bool,
-    /// What the asker lacks.
+    /// What the calling agent lacks; empty for a `version_only` request.
     #[serde(rename = "news")]
     pub update: Update,
 }
 
-/// What an agent says of itself.
+/// Identity and configuration version of an agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct About {
-    /// The host.
+    /// Host of the agent.
     pub host: HostId,
-    /// The life of the agent.
+    /// Incarnation of the agent.
     pub incarnation: Incarnation,
-    /// Where it takes the calls of operators.
+    /// Address on which it accepts operators' requests.
     pub admin: SocketAddr,
-    /// The version of the configuration in force; 0 if there is none.
+    /// Version of the configuration in force; 0 if there is none.
     pub version: Version,
 }
 
-/// What an agent asks another one of the configuration.
+/// A long poll of another agent for newer versions of the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangesRequest {
-    /// The version that the asker holds.
+    /// The version that the calling agent holds; 0 if it holds none.
     pub after: Version,
-    /// How long the answer may be held back while there is nothing new, in milliseconds.
+    /// How long the answer may be delayed until there is a change, in milliseconds.
     pub wait_ms: u64,
-    /// Whether only the version is wanted.
+    /// Whether the answer carries only the version and no changes.
     #[serde(rename = "is_brief")]
     pub version_only: bool,
 }
 
-/// Calls that an agent takes.
+/// The service of an agent for the router of its host and for other agents.
 #[tarpc::service]
 pub trait AgentPeer {
-    /// The view, once its revision differs from `revision` or `wait_ms` have passed.
+    /// Returns the view once its revision differs from `revision`, or after `wait_ms`.
     ///
-    /// The document is left out if the asker holds `version`.
+    /// The document is omitted unless it is newer than `version`, the one that the router holds. Revision 0
+    /// is never in use, so a call with it returns at once.
     async fn view(revision: u64, version: Version, wait_ms: u64) -> View;
 
-    /// The configuration's newer versions, once there are any or the wait has passed.
+    /// Returns newer versions of the configuration once there are any, once the freshness of this agent's
+    /// version changes, or after the wait.
     async fn changes(ask: ChangesRequest) -> Changes;
 
-    /// The agent itself.
+    /// Returns the identity of the agent and the version of its configuration.
     async fn about() -> About;
-    /// A heartbeat, answered by one.
+
+    /// Applies a heartbeat and answers with this agent's own.
     async fn heartbeat(beat: Heartbeat) -> Heartbeat;
 
-    /// The host of this agent takes no new work from now on.
+    /// Marks the host of this agent as leaving for the rest of this incarnation, so that it gets no new work.
     async fn leave();
 }
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,6 +1,8 @@
-//! The protocol between the system's own processes, by `tarpc` over TCP with MessagePack.
+//! RPC between routers, agents and entry hosts: `tarpc` services over TCP, encoded as MessagePack.
 //!
-//! This is the only crate that knows how messages travel between hosts.
+//! MessagePack writes struct fields by position and enum variants by name; the order of fields and the
+//! names of variants are part of the protocol. The transport is private to this crate: callers use the
+//! clients in [`link`] and the servers in [`serve`].
 
 pub mod agent;
 pub mod host;
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -1,4 +1,4 @@
-//! A connection to a peer that is opened again when it fails.
+//! Clients for the `tarpc` services, each over one connection that is reopened after a failure.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -21,45 +21,46 @@
 use crate::host::{FeedError, HostPeerClient};
 use crate::router::{RouterPeerClient, Sealed};
 
-/// The largest message between processes, in bytes.
+/// Maximum size of a message in either direction, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 64 * 1024 * 1024;
 
-/// The longest wait for a connection.
+/// Time limit for opening a TCP connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time beyond which the transport itself gives up a call that the caller has already given up.
+/// Margin of the `tarpc` deadline over that of the call, so that the call's own timeout expires first.
 const TRANSPORT_GRACE: Duration = Duration::from_millis(200);
 
-/// Why a peer gave no answer.
+/// Why a call to a peer failed.
 #[derive(Debug, Error)]
 pub enum LinkError {
-    /// No connection could be made; the call was not sent.
+    /// No connection could be opened, so nothing was sent over it. If this was a retry, the peer may have
+    /// received the first attempt.
     #[error("no connection to peer {addr}: {cause}; check that the process runs there")]
     Connect {
-        /// The address.
+        /// Address of the peer.
         addr: SocketAddr,
-        /// The cause.
+        /// The underlying error.
         cause: String,
     },
-    /// The call was sent and not answered.
-    #[error("peer {addr} gave no answer: {cause}; the call may have been received")]
+    /// The connection failed or the deadline passed before an answer; the call may have been received.
+    #[error("peer {addr} did not answer: {cause}; the call may have been received")]
     Unanswered {
-        /// The address.
+        /// Address of the peer.
         addr: SocketAddr,
-        /// The cause.
+        /// The RPC error or the timeout.
         cause: String,
     },
 }
 
-/// A connection whose bytes are counted.
+/// A connection that counts its bytes for [`traffic`].
 type CountedStream = InspectReader<InspectWriter<TcpStream, fn(&[u8])>, fn(&[u8])>;
 
-/// A connection as a sequence of messages.
+/// A connection split into length-delimited messages.
 pub(crate) type Frames = Framed<CountedStream, LengthDelimitedCodec>;
 
-/// The messages of a connection, on either side.
+/// Sets up message framing and byte counting for a connection, on the client or the server side.
 pub(crate) fn frames(stream: TcpStream) -> Frames {
-    // Without this, small frames wait for the peer's delayed acknowledgement.
+    // With Nagle's algorithm, small frames would wait for the peer's delayed acknowledgement.
     let _ = stream.set_nodelay(true);
     let written: InspectWriter<_, fn(&[u8])> = InspectWriter::new(stream, traffic::sent);
     let counted: CountedStream = InspectReader::new(written, traffic::received);
@@ -69,7 +70,7 @@
     Framed::new(counted, codec)
 }
 
-/// Declares a link for the client of one service.
+/// Declares a link type over the `tarpc` client of one service.
 macro_rules! link {
     ($(#[$doc:meta])* $name:ident, $client:ident) => {
         $(#[$doc])*
@@ -87,12 +88,12 @@
                 }
             }
 
-            /// The address of the peer.
+            /// Address of the peer.
             pub fn addr(&self) -> SocketAddr {
                 self.addr
             }
 
-            /// The client over the open connection, or over a new one; and whether it was open.
+            /// The client over the open connection, or over a new one; also whether it was open before.
             async fn client(&self) -> Result<($client, bool), LinkError> {
                 let mut slot = self.client.lock().await;
                 if let Some(client) = slot.as_ref() {
@@ -111,15 +112,16 @@
                 Ok((client, false))
             }
 
-            /// Closes the connection, so that the next call opens a new one.
+            /// Discards the connection, so that the next call opens a new one.
             async fn reset(&self) {
                 *self.client.lock().await = None;
             }
 
-            /// Makes one call within `limit`; the connection is given up if it is not answered.
+            /// Makes a call within `limit`; if it fails, the connection is discarded.
             ///
-            /// A connection that was open before may end at a process that is gone by now, so the
-            /// call is made once more over a new one. Calls between peers may be received twice.
+            /// A connection that was open before may lead to a process that has since ended, so a
+            /// failed call is retried once over a new connection if time is left. A peer may
+            /// therefore receive a call twice.
             async fn call<T, F>(
                 &self,
                 limit: Duration,
@@ -138,7 +140,7 @@
                 self.try_call(client, deadline, &run).await
             }
 
-            /// Makes one call over the connection of `client`.
+            /// Makes one attempt over the connection of `client`.
             async fn try_call<T, F>(
                 &self,
                 client: $client,
@@ -153,13 +155,13 @@
                 let mut context = context::current();
                 context.deadline = deadline + TRANSPORT_GRACE;
                 let left = deadline.saturating_duration_since(Instant::now());
-                let answer = match timeout(left, run(client, context)).await {
+                let error = match timeout(left, run(client, context)).await {
                     Ok(Ok(answer)) => return Ok(answer),
                     Ok(Err(e)) => unanswered(e.to_string()),
                     Err(e) => unanswered(e.to_string()),
                 };
                 self.reset().await;
-                Err(answer)
+                Err(error)
             }
         }
     };
@@ -170,6 +172,7 @@
     RouterLink,
     RouterPeerClient
 );
+
 link!(
     /// A link to an agent.
     AgentLink,
@@ -183,7 +186,9 @@
 );
 
 impl HostLink {
-    /// Waits up to `wait` for changes of a table behind the revision `since`.
+    /// Polls an entry host for changes of a table after the revision `since`, for up to `wait`.
+    ///
+    /// `limit` bounds the whole call, so it must exceed `wait`.
     ///
     /// # Errors
     ///
@@ -203,7 +208,7 @@
 }
 
 impl RouterLink {
-    /// Adds tokens to journals at the peer.
+    /// Appends tokens to journals at the peer; one result per append, in the same order.
     ///
     /// # Errors
     ///
@@ -220,7 +225,7 @@
         .await
     }
 
-    /// Seals a journal at the peer.
+    /// Seals a journal at the peer and returns its contents.
     ///
     /// # Errors
     ///
@@ -239,7 +244,7 @@
         .await
     }
 
-    /// Tells the peer that the caller has the whole answer.
+    /// Marks a journal at the peer whose complete output was delivered to the caller.
     ///
     /// # Errors
     ///
@@ -259,7 +264,9 @@
 }
 
 impl AgentLink {
-    /// Reads the view of an agent.
+    /// Polls an agent for a view whose revision differs from `revision`, for up to `wait`.
+    ///
+    /// `limit` bounds the whole call, so it must exceed `wait`.
     ///
     /// # Errors
     ///
@@ -277,7 +284,9 @@
         .await
     }
 
-    /// Asks an agent for newer versions of the configuration.
+    /// Polls an agent for newer versions of the configuration.
+    ///
+    /// `limit` bounds the whole call, so it must exceed the wait in the request.
     ///
     /// # Errors
     ///
@@ -291,7 +300,7 @@
             .await
     }
 
-    /// Asks an agent for itself.
+    /// Queries the identity of an agent and the version of its configuration.
     ///
     /// # Errors
     ///
@@ -318,7 +327,7 @@
         .await
     }
 
-    /// Tells an agent that its host takes no new work.
+    /// Has an agent mark its host as leaving, so that it gets no new work.
     ///
     /// # Errors
     ///
--- a/crates/peer/src/operator.rs
+++ b/crates/peer/src/operator.rs
@@ -1,4 +1,4 @@
-//! JSON shapes of the operators' entry of an agent.
+//! JSON bodies of the HTTP interface that an agent offers to operators.
 
 use base::prelude::*;
 use profiles::change::Change;
@@ -10,18 +10,18 @@
 /// The answer to `GET /v1/config`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct CurrentConfig {
-    /// The document.
+    /// The configuration that the agent holds.
     pub document: Document,
-    /// Whether it is certainly the accepted one; else the platform is away.
+    /// Whether the platform confirmed it as the accepted one; false while the platform is unavailable.
     pub is_fresh: bool,
 }
 
 /// The answer to `POST /v1/config/diff`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Difference {
-    /// The version that was compared.
+    /// The version that the submitted document was compared with.
     pub version: Version,
-    /// The changes that make the document that was sent.
+    /// The changes that turn that version into the submitted document.
     pub changes: Vec<Change>,
 }
 
@@ -32,8 +32,8 @@
     pub host: HostId,
     /// Its data centre.
     pub data_centre: DataCentre,
-    /// Whether it takes no new work.
+    /// Whether the host list marks it as leaving; it then gets no new work.
     pub leaving: bool,
-    /// What its agent says, if it answered.
+    /// Identity of its agent; `None` if the agent did not answer.
     pub about: Option<About>,
 }
--- a/crates/peer/src/serve.rs
+++ b/crates/peer/src/serve.rs
@@ -1,4 +1,4 @@
-//! The server loop for calls of peers.
+//! Servers for the `tarpc` services: one accept loop per listener, with handlers given as closures.
 
 use base::prelude::*;
 use futures_util::{Stream, StreamExt};
@@ -16,14 +16,14 @@
 use crate::link::{Frames, frames};
 use crate::router::{RouterPeer, Sealed};
 
-/// What a router does with the calls of its peers.
+/// Handlers for the calls of [`RouterPeer`].
 #[derive(Clone)]
 pub struct RouterServer<A, S, C> {
-    /// Adds tokens to journals.
+    /// Handles [`RouterPeer::append`].
     pub append: A,
-    /// Seals a journal.
+    /// Handles [`RouterPeer::seal`].
     pub seal: S,
-    /// Notes that a caller has the whole answer.
+    /// Handles [`RouterPeer::close`].
     pub close: C,
 }
 
@@ -52,18 +52,18 @@
     }
 }
 
-/// What an agent does with the calls of routers and other agents.
+/// Handlers for the calls of [`AgentPeer`].
 #[derive(Clone)]
 pub struct AgentServer<V, C, A, H, L> {
-    /// Answers with the view.
+    /// Handles [`AgentPeer::view`].
     pub view: V,
-    /// Answers with what is new in the configuration.
+    /// Handles [`AgentPeer::changes`].
     pub changes: C,
-    /// Answers with the agent itself.
+    /// Handles [`AgentPeer::about`].
     pub about: A,
-    /// Answers a heartbeat.
+    /// Handles [`AgentPeer::heartbeat`].
     pub heartbeat: H,
-    /// Has the host take no new work.
+    /// Handles [`AgentPeer::leave`].
     pub leave: L,
 }
 
@@ -98,10 +98,10 @@
     }
 }
 
-/// What an entry host does with the calls of the others.
+/// Handler for the calls of [`HostPeer`].
 #[derive(Clone)]
 pub struct HostServer<C> {
-    /// Answers with the changes of a table.
+    /// Handles [`HostPeer::changes`].
     pub changes: C,
 }
 
@@ -121,7 +121,7 @@
     }
 }
 
-/// Serves the calls that a router takes until `stop` is cancelled.
+/// Serves [`RouterPeer`] on connections accepted until `stop` is cancelled, which leaves open ones running.
 pub async fn router<A, S, C>(
     listener: TcpListener,
     stop: CancellationToken,
@@ -139,7 +139,7 @@
     .await;
 }
 
-/// Serves the calls that an agent takes until `stop` is cancelled.
+/// Serves [`AgentPeer`] until `stop` is cancelled, which also ends open connections.
 pub async fn agent<V, F, C, G, A, H, L>(
     listener: TcpListener,
     stop: CancellationToken,
@@ -160,14 +160,14 @@
         let serving = answer(calls);
         let end = end.clone();
         tokio::spawn(async move {
-            // An agent that has stopped must not go on answering with what it knew.
+            // A stopped agent must not go on answering with a view that is no longer updated.
             end.run_until_cancelled(serving).await;
         });
     })
     .await;
 }
 
-/// Serves the calls that an entry host takes until `stop` is cancelled.
+/// Serves [`HostPeer`] on connections accepted until `stop` is cancelled, which leaves open ones running.
 pub async fn host<C, F>(listener: TcpListener, stop: CancellationToken, server: HostServer<C>)
 where
     C: Fn(Table, u64, Millis) -> F + Clone + Send + Sync + 'static,
@@ -181,7 +181,7 @@
     .await;
 }
 
-/// Answers the calls of one connection, side by side, until it ends.
+/// Answers the calls of one connection concurrently until the connection ends.
 async fn answer<F>(calls: impl Stream<Item = F>)
 where
     F: Future<Output = ()> + Send + 'static,
@@ -193,14 +193,14 @@
         .await;
 }
 
-/// Takes connections and hands each to `run`.
+/// Accepts connections until `stop` is cancelled and passes each to `run`.
 async fn accept(listener: TcpListener, stop: CancellationToken, run: impl Fn(Frames)) {
     loop {
         let accepted = tokio::select! {
             () = stop.cancelled() => return,
             accepted = listener.accept() => accepted,
         };
-        // A failed accept concerns one connection only; the listener remains usable.
+        // A failed accept affects one connection only; the listener remains usable.
         let Ok((stream, _)) = accepted else { continue };
         run(frames(stream));
     }
--- a/crates/peer/tests/heartbeat_traffic.rs
+++ b/crates/peer/tests/heartbeat_traffic.rs
@@ -1,6 +1,10 @@
-//! The traffic of heartbeats at the size of the long run: 34 agents before 450 backend servers.
+//! The control traffic of an agent stays within its budget at the size of the long-running test: 34 agents
+//! and 450 backend servers in one data centre.
 
-#[expect(dead_code, reason = "the simulation is that of the membership tests")]
+#[expect(
+    dead_code,
+    reason = "shared with the membership tests, which use the rest"
+)]
 #[path = "../../membership/tests/sim/mod.rs"]
 mod sim;
 
@@ -12,25 +16,26 @@
 use tokio_serde::Serializer;
 use tokio_serde::formats::MessagePack;
 
-/// The agents of a data centre.
+/// Number of agents in the data centre.
 const AGENTS: u64 = 34;
 
-/// The backend servers of a data centre.
+/// Number of backend servers in the data centre.
 const BACKENDS: u64 = 450;
 
-/// What a node may send and receive for control, in bytes a second.
+/// Maximum control traffic of a host, sent and received together, in bytes per second.
 const BUDGET_BYTES_S: u64 = 11_000;
 
-/// What the transport adds to a beat: the length, the call's number, deadline and trace.
+/// Overhead of the transport per heartbeat: frame length, request id, deadline and trace context.
 const CALL_BYTES: u64 = 64;
 
-/// A question for the load and its answer: two HTTP heads and a small body.
+/// Size of a poll of a backend server and its answer: two HTTP heads and a small body.
 const POLL_BYTES: u64 = 350;
 
-/// The time from a server's word to no new work, in milliseconds.
+/// Time limit for every agent to know that a server is leaving, in milliseconds, so that it gets no new
+/// work.
 const LEAVING_KNOWN_MS: u64 = 3_000;
 
-/// How long is measured, in seconds.
+/// Duration of the measurement, in seconds.
 const MEASURED_S: u64 = 16;
 
 #[test]
@@ -50,7 +55,7 @@
     sim.measure = Some(wire_size);
     sim.polls = 0;
     for second in 0..MEASURED_S {
-        // Each load moves by up to a quarter of the slots within eight seconds.
+        // Each load varies by up to a quarter of the slots, with a period of eight seconds.
         for i in 0..BACKENDS {
             let phase = (second + i) % 8;
             sim.server(&format!("engine-{i}")).report.running = 8 + phase;
@@ -59,7 +64,7 @@
     }
     let heartbeats = sim.sizes.len() as u64;
     let bytes: u64 = sim.sizes.iter().sum();
-    // Each beat is sent by one node and received by another.
+    // Each heartbeat is sent by one host and received by another.
     let beat_rate = 2 * (bytes + heartbeats * CALL_BYTES) / MEASURED_S / AGENTS;
     let poll_rate = sim.polls * POLL_BYTES / MEASURED_S / AGENTS;
     println!(
@@ -70,11 +75,11 @@
     );
     assert!(
         beat_rate + poll_rate < BUDGET_BYTES_S,
-        "{beat_rate} + {poll_rate} bytes a second"
+        "heartbeats {beat_rate} + polls {poll_rate} bytes per second exceed {BUDGET_BYTES_S}"
     );
 }
 
-/// A server that says that it leaves is known to every agent in time.
+/// Checks that every agent knows in time of a server that reports that it is leaving.
 fn assert_leaving_known_in_time(sim: &mut Sim) {
     for i in (0..BACKENDS).step_by(60) {
         let name = BackendId(format!("engine-{i}"));
@@ -86,12 +91,16 @@
                 .flat_map(|m| m.backends())
                 .filter(|(id, _)| **id == name);
             let leaves = found.all(|(_, b)| b.lifecycle.is_leaving());
-            assert!(leaves, "{} does not know that {name} leaves", agent.name);
+            assert!(
+                leaves,
+                "{} does not know that {name} is leaving",
+                agent.name
+            );
         }
     }
 }
 
-/// The bytes of a beat as it travels.
+/// Size of a heartbeat as encoded on the wire, in bytes.
 fn wire_size(heartbeat: &Heartbeat) -> u64 {
     let mut format: MessagePack<Heartbeat, Heartbeat> = MessagePack::default();
     let bytes = Pin::new(&mut format).serialize(heartbeat);
