--- a/crates/gooseberry-agent/src/distribution.rs
+++ b/crates/gooseberry-agent/src/distribution.rs
@@ -11,7 +11,7 @@
 use base::prelude::*;
 use base::sorted::Sorted;
 use futures_util::future::{join, join_all};
-use peer::agent::{Ask, Changes};
+use peer::agent::{Changes, ChangesRequest};
 use peer::link::{AgentLink, LinkError};
 use profiles::cache::Update;
 use profiles::topology::{Role, role};
@@ -141,7 +141,7 @@
 }
 
 /// Answers a long poll of an agent that follows this one.
-pub async fn answer(agent: &Agent, ask: Ask) -> Changes {
+pub async fn answer(agent: &Agent, ask: ChangesRequest) -> Changes {
     let mut signal = agent.distribution.signal.subscribe();
     let was_fresh = signal.borrow_and_update().is_fresh;
     let is_change = |s: &Signal| s.version > ask.after || s.is_fresh != was_fresh;
@@ -155,7 +155,7 @@
     agent.read(|state| Changes {
         version: state.config.version(),
         is_fresh,
-        news: if ask.is_brief {
+        update: if ask.version_only {
             Update::Changes(Vec::new())
         } else {
             state.config.update_since(ask.after)
@@ -235,17 +235,17 @@
 async fn fetch_peers(agent: &Agent, peers: &[SocketAddr]) -> usize {
     let calls = peers.iter().map(|addr| async {
         let link = AgentLink::new(*addr);
-        let ask = Ask {
+        let ask = ChangesRequest {
             after: agent.version(),
             wait_ms: 0,
-            is_brief: false,
+            version_only: false,
         };
         link.changes(ask, MAX_HOLD.duration()).await.ok()
     });
     let answers: Vec<Changes> = join_all(calls).await.into_iter().flatten().collect();
     let count = answers.len();
     for answer in answers {
-        adopt(agent, answer.news);
+        adopt(agent, answer.update);
     }
     count
 }
@@ -334,15 +334,15 @@
             self.link = None;
         }
         let link = self.link.get_or_insert_with(|| AgentLink::new(addr));
-        let ask = Ask {
+        let ask = ChangesRequest {
             after: agent.version(),
             wait_ms: wait.0,
-            is_brief,
+            version_only: is_brief,
         };
         match link.changes(ask, wait.duration() + CALL_MARGIN).await {
             Ok(mut changes) => {
                 let empty = Update::Changes(Vec::new());
-                adopt(agent, std::mem::replace(&mut changes.news, empty));
+                adopt(agent, std::mem::replace(&mut changes.update, empty));
                 Some(changes)
             }
             Err(e) => {
--- a/crates/peer/src/serve.rs
+++ b/crates/peer/src/serve.rs
@@ -1,4 +1,4 @@
-//! The server loop for calls of peers.
+//! Servers for the `tarpc` services: one accept loop per listener, with handlers given as closures.
 
 use base::prelude::*;
 use futures_util::{Stream, StreamExt};
@@ -11,19 +11,19 @@
 use tokio_serde::formats::MessagePack;
 use tokio_util::sync::CancellationToken;
 
-use crate::agent::{About, AgentPeer, Ask, Changes, View};
-use crate::host::{HostPeer, Unserved};
+use crate::agent::{About, AgentPeer, Changes, ChangesRequest, View};
+use crate::host::{FeedError, HostPeer};
 use crate::link::{Frames, frames};
 use crate::router::{RouterPeer, Sealed};
 
-/// What a router does with the calls of its peers.
+/// Handlers for the calls of [`RouterPeer`].
 #[derive(Clone)]
 pub struct RouterServer<A, S, C> {
-    /// Adds tokens to journals.
+    /// Handles [`RouterPeer::append`].
     pub append: A,
-    /// Seals a journal.
+    /// Handles [`RouterPeer::seal`].
     pub seal: S,
-    /// Notes that a caller has the whole answer.
+    /// Handles [`RouterPeer::close`].
     pub close: C,
 }
 
@@ -52,18 +52,18 @@
     }
 }
 
-/// What an agent does with the calls of routers and other agents.
+/// Handlers for the calls of [`AgentPeer`].
 #[derive(Clone)]
 pub struct AgentServer<V, C, A, H, L> {
-    /// Answers with the view.
+    /// Handles [`AgentPeer::view`].
     pub view: V,
-    /// Answers with what is new in the configuration.
+    /// Handles [`AgentPeer::changes`].
     pub changes: C,
-    /// Answers with the agent itself.
+    /// Handles [`AgentPeer::about`].
     pub about: A,
-    /// Answers a heartbeat.
+    /// Handles [`AgentPeer::heartbeat`].
     pub heartbeat: H,
-    /// Has the host take no new work.
+    /// Handles [`AgentPeer::leave`].
     pub leave: L,
 }
 
@@ -71,13 +71,13 @@
 where
     V: Fn(u64, Version, Millis) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = View> + Send + 'static,
-    C: Fn(Ask) -> G + Clone + Send + Sync + 'static,
+    C: Fn(ChangesRequest) -> G + Clone + Send + Sync + 'static,
     G: Future<Output = Changes> + Send + 'static,
     A: Fn() -> About + Clone + Send + Sync + 'static,
     H: Fn(Heartbeat) -> Heartbeat + Clone + Send + Sync + 'static,
     L: Fn() + Clone + Send + Sync + 'static,
 {
-    async fn changes(self, _: Context, ask: Ask) -> Changes {
+    async fn changes(self, _: Context, ask: ChangesRequest) -> Changes {
         (self.changes)(ask).await
     }
 
@@ -98,17 +98,17 @@
     }
 }
 
-/// What an entry host does with the calls of the others.
+/// Handler for the calls of [`HostPeer`].
 #[derive(Clone)]
 pub struct HostServer<C> {
-    /// Answers with the changes of a table.
+    /// Handles [`HostPeer::changes`].
     pub changes: C,
 }
 
 impl<C, F> HostPeer for HostServer<C>
 where
     C: Fn(Table, u64, Millis) -> F + Clone + Send + Sync + 'static,
-    F: Future<Output = Result<Rows, Unserved>> + Send + 'static,
+    F: Future<Output = Result<Rows, FeedError>> + Send + 'static,
 {
     async fn changes(
         self,
@@ -116,12 +116,12 @@
         table: Table,
         since: u64,
         wait_ms: u64,
-    ) -> Result<Rows, Unserved> {
+    ) -> Result<Rows, FeedError> {
         (self.changes)(table, since, Millis(wait_ms)).await
     }
 }
 
-/// Serves the calls that a router takes until `stop` is cancelled.
+/// Serves [`RouterPeer`] on connections accepted until `stop` is cancelled, which leaves open ones running.
 pub async fn router<A, S, C>(
     listener: TcpListener,
     stop: CancellationToken,
@@ -139,7 +139,7 @@
     .await;
 }
 
-/// Serves the calls that an agent takes until `stop` is cancelled.
+/// Serves [`AgentPeer`] until `stop` is cancelled, which also ends open connections.
 pub async fn agent<V, F, C, G, A, H, L>(
     listener: TcpListener,
     stop: CancellationToken,
@@ -147,7 +147,7 @@
 ) where
     V: Fn(u64, Version, Millis) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = View> + Send + 'static,
-    C: Fn(Ask) -> G + Clone + Send + Sync + 'static,
+    C: Fn(ChangesRequest) -> G + Clone + Send + Sync + 'static,
     G: Future<Output = Changes> + Send + 'static,
     A: Fn() -> About + Clone + Send + Sync + 'static,
     H: Fn(Heartbeat) -> Heartbeat + Clone + Send + Sync + 'static,
@@ -160,18 +160,18 @@
         let serving = answer(calls);
         let end = end.clone();
         tokio::spawn(async move {
-            // An agent that has stopped must not go on answering with what it knew.
+            // A stopped agent must not go on answering with a view that is no longer updated.
             end.run_until_cancelled(serving).await;
         });
     })
     .await;
 }
 
-/// Serves the calls that an entry host takes until `stop` is cancelled.
+/// Serves [`HostPeer`] on connections accepted until `stop` is cancelled, which leaves open ones running.
 pub async fn host<C, F>(listener: TcpListener, stop: CancellationToken, server: HostServer<C>)
 where
     C: Fn(Table, u64, Millis) -> F + Clone + Send + Sync + 'static,
-    F: Future<Output = Result<Rows, Unserved>> + Send + 'static,
+    F: Future<Output = Result<Rows, FeedError>> + Send + 'static,
 {
     accept(listener, stop, |stream| {
         let transport = tarpc::serde_transport::new(stream, MessagePack::default());
@@ -181,7 +181,7 @@
     .await;
 }
 
-/// Answers the calls of one connection, side by side, until it ends.
+/// Answers the calls of one connection concurrently until the connection ends.
 async fn answer<F>(calls: impl Stream<Item = F>)
 where
     F: Future<Output = ()> + Send + 'static,
@@ -193,14 +193,14 @@
         .await;
 }
 
-/// Takes connections and hands each to `run`.
+/// Accepts connections until `stop` is cancelled and passes each to `run`.
 async fn accept(listener: TcpListener, stop: CancellationToken, run: impl Fn(Frames)) {
     loop {
         let accepted = tokio::select! {
             () = stop.cancelled() => return,
             accepted = listener.accept() => accepted,
         };
-        // A failed accept concerns one connection only; the listener remains usable.
+        // A failed accept affects one connection only; the listener remains usable.
         let Ok((stream, _)) = accepted else { continue };
         run(frames(stream));
     }
