--- a/crates/gooseberry-bench/src/calls.rs
+++ b/crates/gooseberry-bench/src/calls.rs
@@ -170,7 +170,7 @@
     let mut runs: Sorted<String, u64> = Sorted::default();
     for server in &fleet.plain {
         // A server that never ran a call has written no file.
-        let text = std::fs::read_to_string(&server.runs).unwrap_or_default();
+        let text = std::fs::read_to_string(&server.run_record).unwrap_or_default();
         for key in text.lines() {
             *runs.entry(key.to_owned(), || 0) += 1;
         }
--- a/crates/gooseberry-bench/src/calls/faults.rs
+++ b/crates/gooseberry-bench/src/calls/faults.rs
@@ -16,7 +16,7 @@
 
 use super::caller::{Ask, Seen};
 use crate::harness::BenchError;
-use crate::harness::fleet::{CALL, Fleet};
+use crate::harness::fleet::{CALL_TIMEOUT, Fleet};
 
 /// The time between two callers.
 const PACE: Duration = Duration::from_millis(12);
@@ -224,7 +224,8 @@
 }
 
 async fn switch(platform: SocketAddr, fault: &Switch) -> Result<(), BenchError> {
-    let _: Value = web::client::call(platform, Method::POST, "/faults", fault, CALL).await?;
+    let _: Value =
+        web::client::call(platform, Method::POST, "/faults", fault, CALL_TIMEOUT).await?;
     Ok(())
 }
 
--- a/crates/gooseberry-bench/src/calls/load.rs
+++ b/crates/gooseberry-bench/src/calls/load.rs
@@ -13,7 +13,7 @@
 
 use super::caller::{Ask, End, Seen};
 use crate::harness::BenchError;
-use crate::harness::fleet::{CALL, Fleet};
+use crate::harness::fleet::{CALL_TIMEOUT, Fleet};
 
 /// What the name of the metric with the time of a claim ends with.
 const CLAIM: &str = "claims.claim:";
@@ -112,7 +112,7 @@
 }
 
 async fn stats(fleet: &Fleet) -> Result<Stats, BenchError> {
-    Ok(web::client::get(fleet.platform_addr, "/stats", CALL).await?)
+    Ok(web::client::get(fleet.platform_addr, "/stats", CALL_TIMEOUT).await?)
 }
 
 /// The quantiles of times in milliseconds.
--- a/crates/gooseberry-bench/src/config/agents.rs
+++ b/crates/gooseberry-bench/src/config/agents.rs
@@ -23,7 +23,7 @@
 use super::relay::Relay;
 use crate::harness::BenchError;
 use crate::harness::child::{Child, write_settings};
-use crate::harness::fleet::CALL;
+use crate::harness::fleet::CALL_TIMEOUT;
 
 /// The operators' key.
 pub(crate) const KEY: &str = "operator-key";
@@ -97,7 +97,10 @@
         let store = Child::start(programs, "gooseberry-standin", &["platform"], &file)?;
         let mut agents = Self {
             all: Vec::new(),
-            platform: Platform { addr, limit: CALL },
+            platform: Platform {
+                addr,
+                limit: CALL_TIMEOUT,
+            },
             programs: programs.to_owned(),
             folder,
             relay: Relay::start(address(way, 251, 7020), addr).await,
@@ -200,7 +203,7 @@
     async fn until_ready(&self) -> Result<(), BenchError> {
         let deadline = Instant::now() + READY;
         for agent in self.all.iter().filter(|a| a.is_up) {
-            while web::client::get::<Value>(agent.admin, "/v1/ready", CALL)
+            while web::client::get::<Value>(agent.admin, "/v1/ready", CALL_TIMEOUT)
                 .await
                 .is_err()
             {
--- a/crates/gooseberry-bench/src/config/judge.rs
+++ b/crates/gooseberry-bench/src/config/judge.rs
@@ -10,7 +10,7 @@
 use super::agents::{Agent, Agents, WORKSPACES};
 use super::changes::{Accepted, Operators};
 use crate::harness::BenchError;
-use crate::harness::fleet::CALL;
+use crate::harness::fleet::CALL_TIMEOUT;
 use crate::harness::report::{Times, times};
 
 /// An agent that goes away this long after a change was sent should have had it.
@@ -52,7 +52,7 @@
     }
     let mut spans = Vec::new();
     for agent in &agents.all {
-        let state: Value = web::client::get(agent.admin, "/v1/state", CALL).await?;
+        let state: Value = web::client::get(agent.admin, "/v1/state", CALL_TIMEOUT).await?;
         let Ok(state) = serde_json::from_value::<State>(state) else {
             judged.reverted += 1;
             continue;
--- a/crates/gooseberry-bench/src/config/usage.rs
+++ b/crates/gooseberry-bench/src/config/usage.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 
 use super::agents::Agents;
-use crate::harness::fleet::CALL;
+use crate::harness::fleet::CALL_TIMEOUT;
 use crate::harness::usage;
 
 /// The bytes in a megabyte of memory.
@@ -60,7 +60,7 @@
         let stats = stats(&agents.platform).await;
         let mut nodes = Vec::new();
         for agent in &agents.all {
-            let state = web::client::get(agent.admin, "/v1/state", CALL).await;
+            let state = web::client::get(agent.admin, "/v1/state", CALL_TIMEOUT).await;
             let state: Value = state.unwrap_or_default();
             let traffic = &state["traffic"];
             let bytes = number(&traffic["sent"]) + number(&traffic["received"]);
@@ -96,7 +96,7 @@
 }
 
 async fn stats(platform: &Platform) -> Value {
-    let stats = web::client::get(platform.addr, "/stats", CALL).await;
+    let stats = web::client::get(platform.addr, "/stats", CALL_TIMEOUT).await;
     stats.unwrap_or_default()
 }
 
--- a/crates/gooseberry-bench/src/demo.rs
+++ b/crates/gooseberry-bench/src/demo.rs
@@ -11,7 +11,7 @@
 use serde_json::{Value, json};
 use tokio::time::{Instant, sleep};
 
-use crate::harness::caller::{Ask, Seen, Verdict};
+use crate::harness::caller::{Caller, Transcript, Verdict};
 use crate::harness::fleet::{Fleet, PlainPlan, Plan};
 use crate::harness::report::{Times, times};
 use crate::harness::{BenchError, build};
@@ -132,9 +132,9 @@
     }
 }
 
-fn asks(fleet: &Fleet, options: &Options) -> Vec<Ask> {
+fn asks(fleet: &Fleet, options: &Options) -> Vec<Caller> {
     let hosts: Vec<_> = fleet.hosts.iter().map(|h| h.callers).collect();
-    let one = |i: usize| Ask {
+    let one = |i: usize| Caller {
         key: format!("demo-{i}"),
         bearer: BEARER.to_owned(),
         model: "draft-model".to_owned(),
@@ -147,8 +147,8 @@
     (0..options.streams).map(one).collect()
 }
 
-async fn run_all(asks: Vec<Ask>) -> Vec<Seen> {
-    join_all(asks.iter().map(Ask::run)).await
+async fn run_all(asks: Vec<Caller>) -> Vec<Transcript> {
+    join_all(asks.iter().map(Caller::run)).await
 }
 
 /// How many requests of a state dump have more than one attempt.
@@ -161,7 +161,7 @@
     requests.map_or(0, |all| all.iter().filter(is_resumed).count())
 }
 
-fn report(asks: &[Ask], seen: &[Seen], killed: Instant, resumed: usize) -> Value {
+fn report(asks: &[Caller], seen: &[Transcript], killed: Instant, resumed: usize) -> Value {
     let verdicts: Vec<Verdict> = asks.iter().zip(seen).map(|(a, s)| a.judge(s)).collect();
     let count = |v: Verdict| verdicts.iter().filter(|x| **x == v).count();
     let first = seen
@@ -183,7 +183,7 @@
 }
 
 /// The time from the kill to the next token, if the stream was hit by it.
-fn resume(seen: &Seen, killed: Instant) -> Option<Duration> {
+fn resume(seen: &Transcript, killed: Instant) -> Option<Duration> {
     let i = seen.arrivals.iter().position(|(at, _)| *at > killed)?;
     let after = seen.arrivals[i].0;
     let before = seen.arrivals.get(i.checked_sub(1)?)?.0;
--- a/crates/gooseberry-bench/src/drain.rs
+++ b/crates/gooseberry-bench/src/drain.rs
@@ -15,7 +15,7 @@
 
 use crate::demo;
 use crate::faults::commit;
-use crate::harness::fleet::{CALL, Fleet, OPERATOR, PlainPlan, Plan};
+use crate::harness::fleet::{CALL_TIMEOUT, Fleet, OPERATOR_KEY, PlainPlan, Plan};
 use crate::harness::report::times;
 use crate::harness::{BenchError, build};
 use callers::Callers;
@@ -76,7 +76,7 @@
         let started = Instant::now();
         clean += u64::from(replace_host(&mut fleet, i).await?);
         drains.push(started.elapsed());
-        fleet.settle().await?;
+        fleet.wait_until_serving().await?;
     }
     let tally = callers.finish().await;
     let new_work = engines.iter().map(|e| e.new_work.as_millis()).max();
@@ -232,10 +232,10 @@
 /// Asks for a drain as an operator.
 async fn drain(admin: std::net::SocketAddr) -> Result<(), BenchError> {
     let mut request = web::client::json_request(admin, Method::POST, "/v1/drain", &());
-    if let Ok(key) = format!("Bearer {OPERATOR}").parse() {
+    if let Ok(key) = format!("Bearer {OPERATOR_KEY}").parse() {
         request.headers_mut().insert("authorization", key);
     }
-    let answer = web::client::send(admin, request, CALL).await?;
+    let answer = web::client::send(admin, request, CALL_TIMEOUT).await?;
     web::client::read_whole(admin, answer).await?;
     Ok(())
 }
--- a/crates/gooseberry-bench/src/drain/callers.rs
+++ b/crates/gooseberry-bench/src/drain/callers.rs
@@ -13,8 +13,8 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::demo::BEARER;
-use crate::harness::caller::{Ask, Verdict};
-use crate::harness::fleet::{CALL, Fleet};
+use crate::harness::caller::{Caller, Verdict};
+use crate::harness::fleet::{CALL_TIMEOUT, Fleet};
 
 /// The time between two looks of the balancer at a host.
 const BALANCER: Duration = Duration::from_millis(100);
@@ -102,7 +102,8 @@
     loop {
         let mut found = Vec::new();
         for (callers, admin) in &hosts {
-            let answer: Result<Value, _> = web::client::get(*admin, "/v1/ready", CALL).await;
+            let answer: Result<Value, _> =
+                web::client::get(*admin, "/v1/ready", CALL_TIMEOUT).await;
             if answer.is_ok() {
                 found.push(*callers);
             }
@@ -121,7 +122,7 @@
             sleep(BALANCER).await;
             continue;
         }
-        let ask = Ask {
+        let ask = Caller {
             key: format!("drain-{caller}-{}", tally.requests),
             bearer: BEARER.to_owned(),
             model: "draft-model".to_owned(),
@@ -135,8 +136,8 @@
         tally.add(&Tally {
             requests: 1,
             exact: u64::from(ask.judge(&seen) == Verdict::Exact),
-            cut: seen.cuts,
-            refused: seen.repeats.saturating_sub(seen.cuts),
+            cut: seen.interruptions,
+            refused: seen.retries.saturating_sub(seen.interruptions),
             restarted: seen.restarts,
         });
     }
--- a/crates/gooseberry-bench/src/faults.rs
+++ b/crates/gooseberry-bench/src/faults.rs
@@ -26,22 +26,22 @@
 use crate::harness::{BenchError, build};
 use case::Case;
 use ledger::Ledger;
-use measure::Paths;
-use site::{Site, User, Variant};
-use wave::{Outcome, Stage};
+use measure::Latencies;
+use site::{Deployment, Site, Variant};
+use wave::{Outcome, Testbed};
 
 /// The longest that one baseline may take.
-const BASELINE: Duration = Duration::from_secs(90);
+const BASELINE_LIMIT: Duration = Duration::from_secs(90);
 
 /// The failure-free waves that run at once.
-const FREE_WAVES: usize = 3;
+const PARALLEL_WAVES: usize = 3;
 
 /// How the experiment runs.
 #[derive(Clone, Debug, Bpaf)]
 pub(crate) struct Options {
     /// Whose deployment: `sao-mai` or `nyah`.
     #[bpaf(long, argument("NAME"))]
-    profile: User,
+    profile: Deployment,
     /// The seed from which faults are drawn.
     #[bpaf(long, argument("N"), fallback(1))]
     seed: u64,
@@ -66,7 +66,7 @@
     let mut site = Site::new(options.profile, options.variant, options.streams);
     let cases = cases(&options);
     let run = run_waves(&options, &programs, &mut site, &cases).await?;
-    let mut report = report::whole(&options, &site, &run);
+    let mut report = report::build(&options, &site, &run);
     if options.variant == Variant::Resume && !options.no_baselines {
         let (scratch, fixed) = tokio::join!(
             baseline(&options, Variant::Scratch),
@@ -75,25 +75,25 @@
         report["baselines"] = serde_json::json!({ "scratch": scratch, "timeout": fixed });
     }
     println!("{report:#}");
-    let is_sound = report::is_sound(&report);
+    let passed = report::passed(&report);
     if !options.json {
-        let verdict = if is_sound {
+        let verdict = if passed {
             "every answer is whole"
         } else {
             "FAILED"
         };
         println!("{verdict}");
     }
-    Ok(is_sound)
+    Ok(passed)
 }
 
 /// All that was seen in one run.
 struct Run {
     outcomes: Vec<Outcome>,
     /// The work of the same waves without a failure.
-    free: ledger::Work,
-    router: Paths,
-    direct: Paths,
+    fault_free: ledger::Work,
+    router: Latencies,
+    direct: Latencies,
 }
 
 /// The waves of this run: one fault, two at a time, or all.
@@ -103,8 +103,8 @@
     }
     let mut random = StdRng::seed_from_u64(options.seed);
     let all = case::draw(&mut random);
-    let is_compared = |c: &Case| options.variant == Variant::Resume || c.is_compared();
-    all.into_iter().filter(is_compared).collect()
+    let has_baseline = |c: &Case| options.variant == Variant::Resume || c.has_baseline();
+    all.into_iter().filter(has_baseline).collect()
 }
 
 async fn run_waves(
@@ -115,31 +115,31 @@
 ) -> Result<Run, BenchError> {
     let plan = site.plan();
     let relays = Relays::start(&plan).await?;
-    let fleet = Fleet::start_with(programs, &plan, Some(&relays)).await?;
-    let mut stage = Stage {
+    let fleet = Fleet::start_relayed(programs, &plan, Some(&relays)).await?;
+    let mut testbed = Testbed {
         fleet,
         relays,
         plan,
         ledger: Ledger::default(),
         random: StdRng::seed_from_u64(options.seed ^ 1),
     };
-    let before = stage.ledger.total(&stage.fleet).await?;
-    let numbers: Vec<usize> = (0..cases.len()).collect();
-    for some in numbers.chunks(FREE_WAVES) {
-        wave::free(&stage, site, some).await?;
+    let before = testbed.ledger.total(&testbed.fleet).await?;
+    let wave_numbers: Vec<usize> = (0..cases.len()).collect();
+    for batch in wave_numbers.chunks(PARALLEL_WAVES) {
+        wave::run_fault_free(&testbed, site, batch).await?;
     }
-    let free = stage.ledger.total(&stage.fleet).await? - before;
-    let (router, direct) = measure::paths(&stage.fleet, site).await;
+    let fault_free = testbed.ledger.total(&testbed.fleet).await? - before;
+    let (router, direct) = measure::latencies(&testbed.fleet, site).await;
     let mut outcomes = Vec::new();
     for (number, case) in cases.iter().enumerate() {
         if !options.json {
             println!("wave {number}: {case}");
         }
-        outcomes.push(wave::run(&mut stage, site, number, case).await?);
+        outcomes.push(wave::run(&mut testbed, site, number, case).await?);
     }
     Ok(Run {
         outcomes,
-        free,
+        fault_free,
         router,
         direct,
     })
@@ -163,7 +163,7 @@
         command.args(["--fault", &case.to_string()]);
     }
     command.stdin(Stdio::null()).kill_on_drop(true);
-    match timeout(BASELINE, command.output()).await {
+    match timeout(BASELINE_LIMIT, command.output()).await {
         Ok(Ok(output)) => serde_json::from_slice(&output.stdout)
             .unwrap_or_else(|_| failed(String::from_utf8_lossy(&output.stderr).into_owned())),
         Ok(Err(e)) => failed(e.to_string()),
--- a/crates/gooseberry-bench/src/faults/case.rs
+++ b/crates/gooseberry-bench/src/faults/case.rs
@@ -43,7 +43,7 @@
 
 impl Fault {
     /// Whether the loss shows by a connection that closes.
-    pub(crate) fn closes(self) -> bool {
+    pub(crate) fn closes_connections(self) -> bool {
         !matches!(
             self,
             Self::EnginePaused
@@ -65,13 +65,13 @@
 
 impl Case {
     /// Whether the baselines are measured under it: they know no takeover of a router's requests.
-    pub(crate) fn is_compared(&self) -> bool {
+    pub(crate) fn has_baseline(&self) -> bool {
         self.0.iter().all(|f| f.is_engine())
     }
 
     /// Whether every loss shows by a connection that closes.
-    pub(crate) fn closes(&self) -> bool {
-        self.0.iter().all(|f| f.closes())
+    pub(crate) fn closes_connections(&self) -> bool {
+        self.0.iter().all(|f| f.closes_connections())
     }
 }
 
--- a/crates/gooseberry-bench/src/faults/inject.rs
+++ b/crates/gooseberry-bench/src/faults/inject.rs
@@ -8,7 +8,7 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 use super::case::{Case, Fault};
-use super::wave::{Crowd, Stage};
+use super::wave::{Callers, Testbed};
 use crate::harness::BenchError;
 
 /// The shortest and the longest pause of an engine, in milliseconds.
@@ -18,19 +18,19 @@
 const ROUTER_PAUSE_MS: [u64; 2] = [2_500, 4_000];
 
 /// The engines with most streams, among which faults choose.
-const BUSY: usize = 10;
+const BUSY_ENGINES: usize = 10;
 
 /// How long data centres are parted.
-const PARTED: Duration = Duration::from_secs(3);
+const PARTITION_TIME: Duration = Duration::from_secs(3);
 
 /// The engines that die at once.
-const MANY: usize = 3;
+const KILLED_ENGINES: usize = 3;
 
 /// The time from the death of a witness to that of the owner.
-const WITNESS_FIRST: Duration = Duration::from_millis(400);
+const OWNER_DELAY: Duration = Duration::from_millis(400);
 
 /// The longest wait for a stream to go on elsewhere.
-const RESUMED: Duration = Duration::from_millis(500);
+const RESUME_WAIT: Duration = Duration::from_millis(500);
 
 /// What is undone while the wave runs on.
 #[derive(Clone, Copy, Debug)]
@@ -42,177 +42,183 @@
 
 /// What was hit, and when.
 #[derive(Debug, Default)]
-pub(crate) struct Damage {
+pub(crate) struct Injection {
     /// When each loss began.
-    pub(crate) times: Vec<Instant>,
+    pub(crate) loss_times: Vec<Instant>,
     repairs: Vec<(Instant, Repair)>,
-    dead_engines: Vec<usize>,
-    dead_routers: Vec<usize>,
-    engines: Vec<usize>,
-    routers: Vec<usize>,
+    killed_engines: Vec<usize>,
+    killed_routers: Vec<usize>,
+    hit_engines: Vec<usize>,
+    hit_routers: Vec<usize>,
 }
 
-impl Damage {
+impl Injection {
     /// Brings about all faults of `case`.
-    pub(crate) async fn strike(
+    pub(crate) async fn inject(
         &mut self,
-        stage: &mut Stage,
+        testbed: &mut Testbed,
         case: &Case,
-        crowd: &Crowd,
+        callers: &Callers,
     ) -> Result<(), BenchError> {
         for fault in &case.0 {
-            self.bring(stage, *fault, crowd).await?;
+            self.inject_one(testbed, *fault, callers).await?;
         }
         Ok(())
     }
 
-    async fn bring(
+    async fn inject_one(
         &mut self,
-        stage: &mut Stage,
+        testbed: &mut Testbed,
         fault: Fault,
-        crowd: &Crowd,
+        callers: &Callers,
     ) -> Result<(), BenchError> {
         match fault {
             Fault::EngineKilled => {
-                let engine = self.draw_engine(stage).await;
-                self.kill_engine(stage, engine).await?;
+                let engine = self.draw_engine(testbed).await;
+                self.kill_engine(testbed, engine).await?;
             }
-            Fault::EnginePaused => self.pause_engine(stage).await,
+            Fault::EnginePaused => self.pause_engine(testbed).await,
             Fault::ConnectionSilenced => {
-                let engine = self.draw_engine(stage).await;
-                self.times.push(Instant::now());
-                stage.relays.silence(stage.fleet.engines[engine].addr);
+                let engine = self.draw_engine(testbed).await;
+                self.loss_times.push(Instant::now());
+                testbed.relays.stall(testbed.fleet.engines[engine].addr);
             }
-            Fault::EnginesKilled => self.kill_engines(stage).await?,
+            Fault::EnginesKilled => self.kill_engines(testbed).await?,
             Fault::EngineRestarted => {
-                let engine = self.draw_engine(stage).await;
-                self.kill_engine(stage, engine).await?;
-                self.dead_engines.retain(|e| *e != engine);
-                stage.fleet.engines[engine].process.wait().await;
-                stage.fleet.restart_engine(engine)?;
+                let engine = self.draw_engine(testbed).await;
+                self.kill_engine(testbed, engine).await?;
+                self.killed_engines.retain(|e| *e != engine);
+                testbed.fleet.engines[engine].process.wait().await;
+                testbed.fleet.restart_engine(engine)?;
             }
-            Fault::ResumeKilled => self.kill_twice(stage).await?,
+            Fault::ResumeKilled => self.kill_engine_and_successor(testbed).await?,
             Fault::RouterKilled => {
-                let router = self.draw_router(stage);
-                self.kill_router(stage, router);
+                let router = self.draw_router(testbed);
+                self.kill_router(testbed, router);
             }
-            Fault::RouterPaused => self.pause_router(stage),
-            Fault::CallersCrossed => crowd.cross(),
-            Fault::WitnessThenOwner => self.kill_pair(stage).await,
-            Fault::CentresParted => self.part(stage, crowd),
-            Fault::CallersGone => crowd.leave(),
+            Fault::RouterPaused => self.pause_router(testbed),
+            Fault::CallersCrossed => callers.duplicate(),
+            Fault::WitnessThenOwner => self.kill_witness_and_owner(testbed).await,
+            Fault::CentresParted => self.partition(testbed, callers),
+            Fault::CallersGone => callers.abandon(),
         }
         Ok(())
     }
 
     /// Undoes pauses and partitions as they fall due.
-    pub(crate) async fn repair(&mut self, stage: &mut Stage) {
+    pub(crate) async fn repair(&mut self, testbed: &mut Testbed) {
         self.repairs.sort_unstable_by_key(|(at, _)| *at);
         for (at, repair) in self.repairs.drain(..) {
             sleep_until(at).await;
             match repair {
-                Repair::Engine(i) => stage.fleet.engines[i].process.thaw(),
-                Repair::Router(i) => stage.fleet.hosts[i].router.thaw(),
-                Repair::Centre(i) => stage.relays.part(i, false),
+                Repair::Engine(i) => testbed.fleet.engines[i].process.thaw(),
+                Repair::Router(i) => testbed.fleet.hosts[i].router.thaw(),
+                Repair::Centre(i) => testbed.relays.set_partitioned(i, false),
             }
         }
     }
 
     /// Starts again what died.
-    pub(crate) async fn revive(&mut self, stage: &mut Stage) -> Result<(), BenchError> {
-        for engine in self.dead_engines.drain(..) {
-            stage.fleet.engines[engine].process.wait().await;
-            stage.fleet.restart_engine(engine)?;
+    pub(crate) async fn restart_killed(&mut self, testbed: &mut Testbed) -> Result<(), BenchError> {
+        for engine in self.killed_engines.drain(..) {
+            testbed.fleet.engines[engine].process.wait().await;
+            testbed.fleet.restart_engine(engine)?;
         }
-        for router in self.dead_routers.drain(..) {
-            stage.fleet.hosts[router].router.wait().await;
-            stage.fleet.restart_router(router)?;
+        for router in self.killed_routers.drain(..) {
+            testbed.fleet.hosts[router].router.wait().await;
+            testbed.fleet.restart_router(router)?;
         }
         Ok(())
     }
 
     /// Draws one of the engines that run many streams and were not hit.
-    async fn draw_engine(&mut self, stage: &mut Stage) -> usize {
-        let live = counts(stage, |s| s.live).await;
-        let mut left = left(live.len(), &self.engines);
-        left.sort_unstable_by_key(|i| std::cmp::Reverse(live[*i]));
-        left.truncate(BUSY);
-        draw(stage, &left, &mut self.engines)
+    async fn draw_engine(&mut self, testbed: &mut Testbed) -> usize {
+        let live = counts(testbed, |s| s.live).await;
+        let mut remaining = remaining(live.len(), &self.hit_engines);
+        remaining.sort_unstable_by_key(|i| std::cmp::Reverse(live[*i]));
+        remaining.truncate(BUSY_ENGINES);
+        draw(testbed, &remaining, &mut self.hit_engines)
     }
 
-    fn draw_router(&mut self, stage: &mut Stage) -> usize {
-        let left = left(stage.fleet.hosts.len(), &self.routers);
-        draw(stage, &left, &mut self.routers)
+    fn draw_router(&mut self, testbed: &mut Testbed) -> usize {
+        let remaining = remaining(testbed.fleet.hosts.len(), &self.hit_routers);
+        draw(testbed, &remaining, &mut self.hit_routers)
     }
 
-    async fn kill_engine(&mut self, stage: &mut Stage, engine: usize) -> Result<(), BenchError> {
-        stage.ledger.close(&stage.fleet, engine).await?;
-        self.times.push(Instant::now());
-        stage.fleet.engines[engine].process.kill();
-        self.dead_engines.push(engine);
+    async fn kill_engine(
+        &mut self,
+        testbed: &mut Testbed,
+        engine: usize,
+    ) -> Result<(), BenchError> {
+        testbed.ledger.record_killed(&testbed.fleet, engine).await?;
+        self.loss_times.push(Instant::now());
+        testbed.fleet.engines[engine].process.kill();
+        self.killed_engines.push(engine);
         Ok(())
     }
 
-    fn kill_router(&mut self, stage: &mut Stage, router: usize) {
-        self.times.push(Instant::now());
-        stage.fleet.hosts[router].router.kill();
-        self.dead_routers.push(router);
+    fn kill_router(&mut self, testbed: &mut Testbed, router: usize) {
+        self.loss_times.push(Instant::now());
+        testbed.fleet.hosts[router].router.kill();
+        self.killed_routers.push(router);
     }
 
-    async fn pause_engine(&mut self, stage: &mut Stage) {
-        let engine = self.draw_engine(stage).await;
-        let pause = stage
+    async fn pause_engine(&mut self, testbed: &mut Testbed) {
+        let engine = self.draw_engine(testbed).await;
+        let pause = testbed
             .random
             .random_range(ENGINE_PAUSE_MS[0]..=ENGINE_PAUSE_MS[1]);
         let now = Instant::now();
-        self.times.push(now);
-        stage.fleet.engines[engine].process.freeze();
+        self.loss_times.push(now);
+        testbed.fleet.engines[engine].process.freeze();
         let until = now + Duration::from_millis(pause);
         self.repairs.push((until, Repair::Engine(engine)));
     }
 
-    fn pause_router(&mut self, stage: &mut Stage) {
-        let router = self.draw_router(stage);
-        let pause = stage
+    fn pause_router(&mut self, testbed: &mut Testbed) {
+        let router = self.draw_router(testbed);
+        let pause = testbed
             .random
             .random_range(ROUTER_PAUSE_MS[0]..=ROUTER_PAUSE_MS[1]);
         let now = Instant::now();
-        self.times.push(now);
-        stage.fleet.hosts[router].router.freeze();
+        self.loss_times.push(now);
+        testbed.fleet.hosts[router].router.freeze();
         let until = now + Duration::from_millis(pause);
         self.repairs.push((until, Repair::Router(router)));
     }
 
     /// Kills engines of one data centre.
-    async fn kill_engines(&mut self, stage: &mut Stage) -> Result<(), BenchError> {
-        let first = self.draw_engine(stage).await;
-        let centre = stage.plan.engines[first].clone();
-        let is_near = |i: &usize| stage.plan.engines[*i] == centre && *i != first;
-        let mut others: Vec<usize> = (0..stage.plan.engines.len()).filter(is_near).collect();
-        others.retain(|i| !self.engines.contains(i));
-        let live = counts(stage, |s| s.live).await;
+    async fn kill_engines(&mut self, testbed: &mut Testbed) -> Result<(), BenchError> {
+        let first = self.draw_engine(testbed).await;
+        let centre = testbed.plan.engines[first].clone();
+        let is_same_centre = |i: &usize| testbed.plan.engines[*i] == centre && *i != first;
+        let mut others: Vec<usize> = (0..testbed.plan.engines.len())
+            .filter(is_same_centre)
+            .collect();
+        others.retain(|i| !self.hit_engines.contains(i));
+        let live = counts(testbed, |s| s.live).await;
         others.sort_unstable_by_key(|i| std::cmp::Reverse(live[*i]));
-        others.truncate(MANY - 1);
-        self.engines.extend(&others);
-        self.kill_engine(stage, first).await?;
+        others.truncate(KILLED_ENGINES - 1);
+        self.hit_engines.extend(&others);
+        self.kill_engine(testbed, first).await?;
         for engine in others {
-            self.kill_engine(stage, engine).await?;
+            self.kill_engine(testbed, engine).await?;
         }
         Ok(())
     }
 
     /// Kills an engine, then the first on which one of its streams goes on.
-    async fn kill_twice(&mut self, stage: &mut Stage) -> Result<(), BenchError> {
-        let first = self.draw_engine(stage).await;
-        let before = counts(stage, |s| s.streams).await;
-        self.kill_engine(stage, first).await?;
-        let deadline = Instant::now() + RESUMED;
+    async fn kill_engine_and_successor(&mut self, testbed: &mut Testbed) -> Result<(), BenchError> {
+        let first = self.draw_engine(testbed).await;
+        let before = counts(testbed, |s| s.streams).await;
+        self.kill_engine(testbed, first).await?;
+        let deadline = Instant::now() + RESUME_WAIT;
         while Instant::now() < deadline {
-            let after = counts(stage, |s| s.streams).await;
-            let is_resuming = |i: &usize| after[*i] > before[*i] && !self.engines.contains(i);
+            let after = counts(testbed, |s| s.streams).await;
+            let is_resuming = |i: &usize| after[*i] > before[*i] && !self.hit_engines.contains(i);
             if let Some(second) = (0..after.len()).find(is_resuming) {
-                self.engines.push(second);
-                return self.kill_engine(stage, second).await;
+                self.hit_engines.push(second);
+                return self.kill_engine(testbed, second).await;
             }
             sleep(Duration::from_millis(5)).await;
         }
@@ -220,45 +226,50 @@
     }
 
     /// Kills a router, then another of its data centre.
-    async fn kill_pair(&mut self, stage: &mut Stage) {
-        let witness = self.draw_router(stage);
-        let centre = stage.plan.hosts[witness].clone();
-        let is_near = |i: &usize| stage.plan.hosts[*i] == centre && !self.routers.contains(i);
-        let owner = (0..stage.plan.hosts.len()).find(is_near);
-        self.kill_router(stage, witness);
-        sleep(WITNESS_FIRST).await;
+    async fn kill_witness_and_owner(&mut self, testbed: &mut Testbed) {
+        let witness = self.draw_router(testbed);
+        let centre = testbed.plan.hosts[witness].clone();
+        let is_same_centre =
+            |i: &usize| testbed.plan.hosts[*i] == centre && !self.hit_routers.contains(i);
+        let owner = (0..testbed.plan.hosts.len()).find(is_same_centre);
+        self.kill_router(testbed, witness);
+        sleep(OWNER_DELAY).await;
         if let Some(owner) = owner {
-            self.routers.push(owner);
-            self.kill_router(stage, owner);
+            self.hit_routers.push(owner);
+            self.kill_router(testbed, owner);
         }
     }
 
-    fn part(&mut self, stage: &mut Stage, crowd: &Crowd) {
-        let centre = stage.random.random_range(0..stage.relays.centres());
+    fn partition(&mut self, testbed: &mut Testbed, callers: &Callers) {
+        let centre = testbed
+            .random
+            .random_range(0..testbed.relays.centre_count());
         let now = Instant::now();
-        self.times.push(now);
-        stage.relays.part(centre, true);
-        let is_inside = |host: usize| stage.relays.centre(&stage.plan.hosts[host]) == centre;
-        crowd.hop(is_inside, stage.plan.hosts.len());
-        self.repairs.push((now + PARTED, Repair::Centre(centre)));
+        self.loss_times.push(now);
+        testbed.relays.set_partitioned(centre, true);
+        let is_inside =
+            |host: usize| testbed.relays.centre_index(&testbed.plan.hosts[host]) == centre;
+        callers.switch_host(is_inside, testbed.plan.hosts.len());
+        self.repairs
+            .push((now + PARTITION_TIME, Repair::Centre(centre)));
     }
 }
 
 /// The numbers below `count` that were not drawn before.
-fn left(count: usize, drawn: &[usize]) -> Vec<usize> {
+fn remaining(count: usize, drawn: &[usize]) -> Vec<usize> {
     (0..count).filter(|i| !drawn.contains(i)).collect()
 }
 
 /// Draws one of `left`.
-fn draw(stage: &mut Stage, left: &[usize], drawn: &mut Vec<usize>) -> usize {
-    let one = left[stage.random.random_range(0..left.len())];
+fn draw(testbed: &mut Testbed, remaining: &[usize], drawn: &mut Vec<usize>) -> usize {
+    let one = remaining[testbed.random.random_range(0..remaining.len())];
     drawn.push(one);
     one
 }
 
 /// A count of each engine; 0 where it gives no answer.
-async fn counts(stage: &Stage, count: fn(Stats) -> u64) -> Vec<u64> {
-    let calls = (0..stage.fleet.engines.len()).map(|i| stage.fleet.engine_stats(i));
+async fn counts(testbed: &Testbed, count: fn(Stats) -> u64) -> Vec<u64> {
+    let calls = (0..testbed.fleet.engines.len()).map(|i| testbed.fleet.engine_stats(i));
     let answers = join_all(calls).await;
     answers.into_iter().map(|a| a.map_or(0, count)).collect()
 }
--- a/crates/gooseberry-bench/src/faults/ledger.rs
+++ b/crates/gooseberry-bench/src/faults/ledger.rs
@@ -64,13 +64,17 @@
 /// The work of engines that have died.
 #[derive(Debug, Default)]
 pub(crate) struct Ledger {
-    ended: Work,
+    killed: Work,
 }
 
 impl Ledger {
     /// Notes what an engine has done; it is killed right after.
-    pub(crate) async fn close(&mut self, fleet: &Fleet, engine: usize) -> Result<(), BenchError> {
-        self.ended = self.ended + fleet.engine_stats(engine).await?.into();
+    pub(crate) async fn record_killed(
+        &mut self,
+        fleet: &Fleet,
+        engine: usize,
+    ) -> Result<(), BenchError> {
+        self.killed = self.killed + fleet.engine_stats(engine).await?.into();
         Ok(())
     }
 
@@ -78,7 +82,7 @@
     pub(crate) async fn total(&self, fleet: &Fleet) -> Result<Work, BenchError> {
         let stats = stats(fleet).await?;
         let sum = stats.into_iter().map(Work::from);
-        Ok(sum.fold(self.ended, |a, b| a + b))
+        Ok(sum.fold(self.killed, |a, b| a + b))
     }
 }
 
--- a/crates/gooseberry-bench/src/faults/report.rs
+++ b/crates/gooseberry-bench/src/faults/report.rs
@@ -16,28 +16,28 @@
 const MAX_FLAWS: usize = 20;
 
 /// The whole report, without baselines.
-pub(crate) fn whole(options: &Options, site: &Site, run: &Run) -> Value {
+pub(crate) fn build(options: &Options, site: &Site, run: &Run) -> Value {
     let all: Vec<&Outcome> = run.outcomes.iter().collect();
-    let weight: u64 = all.iter().map(|o| o.weight).sum();
-    let mut report = section(&all, run.free, weight);
+    let token_total: u64 = all.iter().map(|o| o.token_total).sum();
+    let mut report = figures(&all, run.fault_free, token_total);
     let mut faults = Map::new();
     for outcome in &run.outcomes {
-        let one = section(&[outcome], run.free, weight);
+        let one = figures(&[outcome], run.fault_free, token_total);
         faults.insert(outcome.case.to_string(), one);
     }
     let flaws = all.iter().flat_map(|o| &o.flaws);
     report["faults"] = Value::Object(faults);
-    report["resume_closed_ms"] = json!(resumes(&all, |o| o.case.closes()));
-    report["resume_silent_ms"] = json!(resumes(&all, |o| !o.case.closes()));
-    report["compared"] = compared(run, weight);
+    report["resume_closed_ms"] = json!(resume_times(&all, |o| o.case.closes_connections()));
+    report["resume_silent_ms"] = json!(resume_times(&all, |o| !o.case.closes_connections()));
+    report["compared"] = compared(run, token_total);
     report["flaws"] = flaws.take(MAX_FLAWS).cloned().collect();
     report["gap_ms"] = json!({
-        "router": short(&run.router.gaps),
-        "direct": short(&run.direct.gaps),
+        "router": percentiles(&run.router.gaps),
+        "direct": percentiles(&run.direct.gaps),
     });
     report["ttft_ms"] = json!({
-        "router": short(&run.router.firsts),
-        "direct": short(&run.direct.firsts),
+        "router": percentiles(&run.router.ttfts),
+        "direct": percentiles(&run.direct.ttfts),
     });
     report["profile"] = json!(options.profile);
     report["variant"] = json!(options.variant);
@@ -48,31 +48,31 @@
 }
 
 /// Whether every answer of the run is whole and nothing was left running.
-pub(crate) fn is_sound(report: &Value) -> bool {
+pub(crate) fn passed(report: &Value) -> bool {
     let flaws = ["missing", "repeated", "mixed", "lost", "left_running"];
     flaws.iter().all(|f| report[*f] == 0)
 }
 
 /// The part of the run that the baselines repeat.
-fn compared(run: &Run, weight: u64) -> Value {
+fn compared(run: &Run, token_total: u64) -> Value {
     let some: Vec<&Outcome> = run
         .outcomes
         .iter()
-        .filter(|o| o.case.is_compared())
+        .filter(|o| o.case.has_baseline())
         .collect();
-    section(&some, run.free, weight)
+    figures(&some, run.fault_free, token_total)
 }
 
 /// The figures of some waves.
-fn section(outcomes: &[&Outcome], free: Work, weight: u64) -> Value {
+fn figures(outcomes: &[&Outcome], fault_free: Work, token_total: u64) -> Value {
     let count = |v: Verdict| {
         let all = outcomes.iter().flat_map(|o| &o.verdicts);
         all.filter(|x| **x == v).count()
     };
     let sum = |f: fn(&Outcome) -> u64| outcomes.iter().map(|o| f(o)).sum::<u64>();
-    let used = outcomes.iter().map(|o| o.used);
-    let used = used.fold(Work::default(), |a, b| a + b);
-    let share = sum(|o| o.weight) as f64 / weight.max(1) as f64;
+    let work = outcomes.iter().map(|o| o.work);
+    let work = work.fold(Work::default(), |a, b| a + b);
+    let share = sum(|o| o.token_total) as f64 / token_total.max(1) as f64;
     json!({
         "requests": outcomes.iter().map(|o| o.verdicts.len()).sum::<usize>(),
         "exact": count(Verdict::Exact),
@@ -81,11 +81,11 @@
         "repeated": count(Verdict::Repeated),
         "mixed": count(Verdict::Mixed),
         "lost": count(Verdict::Lost),
-        "repeats": sum(|o| o.repeats),
-        "gone": sum(|o| o.gone),
-        "left_running": sum(|o| o.left),
-        "resume_ms": resumes(outcomes, |_| true),
-        "extra_use": extra(used, free, share),
+        "repeats": sum(|o| o.retries),
+        "gone": sum(|o| o.abandoned),
+        "left_running": sum(|o| o.left_running),
+        "resume_ms": resume_times(outcomes, |_| true),
+        "extra_use": extra_work(work, fault_free, share),
     })
 }
 
@@ -93,26 +93,26 @@
 ///
 /// The prefill of first attempts is left out on both sides: it differs between two runs by where
 /// the balancer put a request and what the cache held there, with or without a failure.
-fn extra(used: Work, free: Work, share: f64) -> Value {
-    let whole = free.total() as f64 * share;
-    let prefill = used.again as f64;
-    let decode = used.decode as f64 - free.decode as f64 * share;
-    let fraction = |tokens: f64| (tokens / whole.max(1.0) * 10_000.0).round() / 10_000.0;
+fn extra_work(work: Work, fault_free: Work, share: f64) -> Value {
+    let fault_free_total = fault_free.total() as f64 * share;
+    let prefill = work.again as f64;
+    let decode = work.decode as f64 - fault_free.decode as f64 * share;
+    let fraction = |tokens: f64| (tokens / fault_free_total.max(1.0) * 10_000.0).round() / 10_000.0;
     json!({
         "fraction": fraction(prefill + decode),
         "prefill": fraction(prefill),
         "decode": fraction(decode),
-        "used": used,
-        "free_total": whole.round(),
+        "used": work,
+        "free_total": fault_free_total.round(),
     })
 }
 
-fn resumes(outcomes: &[&Outcome], is_meant: fn(&Outcome) -> bool) -> Times {
-    let some = outcomes.iter().filter(|o| is_meant(o));
-    times(some.flat_map(|o| o.resumes.iter().copied()))
+fn resume_times(outcomes: &[&Outcome], is_counted: fn(&Outcome) -> bool) -> Times {
+    let some = outcomes.iter().filter(|o| is_counted(o));
+    times(some.flat_map(|o| o.resume_times.iter().copied()))
 }
 
-fn short(durations: &[Duration]) -> Value {
+fn percentiles(durations: &[Duration]) -> Value {
     let times = times(durations.iter().copied());
     json!({ "count": times.count, "p50": times.p50, "p95": times.p95 })
 }
--- a/crates/gooseberry-bench/src/faults/site.rs
+++ b/crates/gooseberry-bench/src/faults/site.rs
@@ -13,41 +13,41 @@
 use serde_json::json;
 use strum::{Display, EnumString};
 
-use crate::harness::caller::Ask;
+use crate::harness::caller::Caller;
 use crate::harness::fleet::{Fleet, PlainPlan, Plan};
 
 /// The entry hosts of each user.
 const HOSTS: usize = 8;
 
 /// The most tokens of an answer.
-const TOKENS: u64 = 160;
+const MAX_TOKENS: u64 = 160;
 
 /// How many times longer the answers are whose callers go away.
-const LONG: u64 = 10;
+const LONG_FACTOR: u64 = 10;
 
 /// The documents that prompts begin with.
-const SCRIPTS: usize = 24;
+const DOCUMENTS: usize = 24;
 
 /// The bytes of such a document.
-const SCRIPT_BYTES: usize = 4_096;
+const DOCUMENT_BYTES: usize = 4_096;
 
 /// The prompt blocks that an engine's cache holds: three documents and some more.
 const CACHE_BLOCKS: usize = 220;
 
 /// The longest that one answer may take.
-const LIMIT: Duration = Duration::from_secs(15);
+const ANSWER_LIMIT: Duration = Duration::from_secs(15);
 
 /// The bearer key of the workspace.
 const BEARER: &str = "bench-key";
 
 /// The fixed timeout of the baseline that knows no other sign of a loss, in milliseconds.
-const FIXED_MS: u64 = 5_000;
+const FIXED_TIMEOUT_MS: u64 = 5_000;
 
 /// Whose deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, EnumString, Serialize)]
 #[strum(serialize_all = "kebab-case")]
 #[serde(rename_all = "kebab-case")]
-pub(crate) enum User {
+pub(crate) enum Deployment {
     /// Sao Mai Call Sheet Router Fleet, which weighs the time to resume.
     SaoMai,
     /// Freedom of Information Router at NYAH, which weighs the extra work.
@@ -70,15 +70,15 @@
 /// One deployment and its callers.
 #[derive(Clone, Debug)]
 pub(crate) struct Site {
-    pub(crate) user: User,
+    pub(crate) deployment: Deployment,
     pub(crate) variant: Variant,
     pub(crate) streams: usize,
 }
 
 impl Site {
-    pub(crate) fn new(user: User, variant: Variant, streams: usize) -> Self {
+    pub(crate) fn new(deployment: Deployment, variant: Variant, streams: usize) -> Self {
         Self {
-            user,
+            deployment,
             variant,
             streams,
         }
@@ -107,23 +107,23 @@
     }
 
     fn centres(&self) -> &'static [&'static str] {
-        match self.user {
-            User::SaoMai => &["vn-south-a", "vn-south-b", "vn-south-c"],
-            User::Nyah => &["bp-kelet", "bp-nyugat", "fehervar-dc", "godollo-dc"],
+        match self.deployment {
+            Deployment::SaoMai => &["vn-south-a", "vn-south-b", "vn-south-c"],
+            Deployment::Nyah => &["bp-kelet", "bp-nyugat", "fehervar-dc", "godollo-dc"],
         }
     }
 
     fn engines(&self) -> usize {
-        match self.user {
-            User::SaoMai => 25,
-            User::Nyah => 20,
+        match self.deployment {
+            Deployment::SaoMai => 25,
+            Deployment::Nyah => 20,
         }
     }
 
     pub(crate) fn service(&self) -> &'static str {
-        match self.user {
-            User::SaoMai => "draft-model",
-            User::Nyah => "modellszerver",
+        match self.deployment {
+            Deployment::SaoMai => "draft-model",
+            Deployment::Nyah => "modellszerver",
         }
     }
 
@@ -133,28 +133,28 @@
 
     /// The user's profile, changed for a baseline.
     fn policy(&self) -> Policy {
-        let own = match self.user {
-            User::SaoMai => sao_mai(),
-            User::Nyah => nyah(),
+        let base = match self.deployment {
+            Deployment::SaoMai => sao_mai(),
+            Deployment::Nyah => nyah(),
         };
         match self.variant {
-            Variant::Resume => own,
+            Variant::Resume => base,
             Variant::Scratch => Policy {
                 mode: Mode::Scratch,
-                ..own
+                ..base
             },
             Variant::Timeout => Policy {
                 mode: Mode::Scratch,
-                floor_ms: FIXED_MS,
-                ceiling_ms: FIXED_MS,
-                first_ms: FIXED_MS,
-                ..own
+                floor_ms: FIXED_TIMEOUT_MS,
+                ceiling_ms: FIXED_TIMEOUT_MS,
+                first_ms: FIXED_TIMEOUT_MS,
+                ..base
             },
         }
     }
 
     /// How long a generation goes on for a caller that went away.
-    pub(crate) fn orphan(&self) -> Duration {
+    pub(crate) fn orphan_limit(&self) -> Duration {
         Duration::from_millis(self.policy().orphan_ms)
     }
 
@@ -190,25 +190,36 @@
     }
 
     /// The request of one caller of a wave.
-    pub(crate) fn ask(&self, fleet: &Fleet, run: &str, wave: usize, i: usize, long: bool) -> Ask {
-        Ask {
+    pub(crate) fn caller(
+        &self,
+        fleet: &Fleet,
+        run: &str,
+        wave: usize,
+        i: usize,
+        is_long: bool,
+    ) -> Caller {
+        Caller {
             key: format!("{run}-{wave}-{i}"),
             bearer: BEARER.to_owned(),
             model: self.service().to_owned(),
             prompt: prompt(wave, i),
-            max_tokens: if long { TOKENS * LONG } else { TOKENS },
+            max_tokens: if is_long {
+                MAX_TOKENS * LONG_FACTOR
+            } else {
+                MAX_TOKENS
+            },
             hosts: fleet.hosts.iter().map(|h| h.callers).collect(),
             first: i,
-            limit: LIMIT,
+            limit: ANSWER_LIMIT,
         }
     }
 }
 
 /// A long document, which several callers share, and a question of one caller's own.
 pub(crate) fn prompt(wave: usize, i: usize) -> String {
-    let script = (wave * 5 + i / 5) % SCRIPTS;
-    let line = format!("Document {script}: the scene is set at dawn, the crew is on the road. ");
-    let mut text: String = line.chars().cycle().take(SCRIPT_BYTES).collect();
+    let document = (wave * 5 + i / 5) % DOCUMENTS;
+    let line = format!("Document {document}: the scene is set at dawn, the crew is on the road. ");
+    let mut text: String = line.chars().cycle().take(DOCUMENT_BYTES).collect();
     text.push_str(&format!("Question {wave}-{i}: draft the answer."));
     text
 }
--- a/crates/gooseberry-bench/src/harness/caller.rs
+++ b/crates/gooseberry-bench/src/harness/caller.rs
@@ -19,21 +19,21 @@
 use tokio_util::sync::CancellationToken;
 
 /// One connection's events, and when its last bytes came.
-struct Events {
+struct EventStream {
     events: BoxStream<'static, Result<Sse, sse_stream::Error>>,
     /// The milliseconds from the opening to the last bytes; keep-alives make no event.
-    heard: Arc<AtomicU64>,
+    last_read: Arc<AtomicU64>,
     opened: Instant,
 }
 
-impl Events {
+impl EventStream {
     fn new(body: Incoming) -> Self {
-        let heard = Arc::new(AtomicU64::new(0));
+        let last_read = Arc::new(AtomicU64::new(0));
         let opened = Instant::now();
-        let noted = heard.clone();
+        let recorded = last_read.clone();
         let body = body.map_frame(move |frame| {
             let elapsed = opened.elapsed().as_millis();
-            noted.store(
+            recorded.store(
                 u64::try_from(elapsed).unwrap_or(u64::MAX),
                 Ordering::Relaxed,
             );
@@ -41,7 +41,7 @@
         });
         Self {
             events: SseStream::new(body).boxed(),
-            heard,
+            last_read,
             opened,
         }
     }
@@ -49,11 +49,13 @@
     /// The next event, if one comes before the connection closes or is silent for too long.
     async fn next(&mut self) -> Option<Sse> {
         loop {
-            let heard = Duration::from_millis(self.heard.load(Ordering::Relaxed));
-            let until = self.opened + heard + SILENCE;
+            let last_read = Duration::from_millis(self.last_read.load(Ordering::Relaxed));
+            let until = self.opened + last_read + IDLE_TIMEOUT;
             match timeout_at(until, self.events.next()).await {
                 Ok(event) => return event?.ok(),
-                Err(_) if self.heard.load(Ordering::Relaxed) == heard.as_millis() as u64 => {
+                Err(_)
+                    if self.last_read.load(Ordering::Relaxed) == last_read.as_millis() as u64 =>
+                {
                     return None;
                 }
                 Err(_) => {}
@@ -63,20 +65,20 @@
 }
 
 /// The longest wait for the head of an answer.
-const HEAD: Duration = Duration::from_millis(1_500);
+const HEAD_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// The longest silence, keep-alives included, after which a caller comes back.
-const SILENCE: Duration = Duration::from_millis(1_500);
+const IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// How long the old connection of a caller that repeated its request is still read.
-const OLD: Duration = Duration::from_secs(5);
+const OLD_LIMIT: Duration = Duration::from_secs(5);
 
 /// The wait before a caller comes back.
-const COME_BACK: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// What one caller asks for.
 #[derive(Clone, Debug)]
-pub(crate) struct Ask {
+pub(crate) struct Caller {
     /// The idempotency key.
     pub(crate) key: String,
     /// The bearer key.
@@ -97,7 +99,7 @@
 
 /// What one caller saw.
 #[derive(Clone, Debug)]
-pub(crate) struct Seen {
+pub(crate) struct Transcript {
     /// When it first asked.
     pub(crate) started: Instant,
     /// When each event with tokens came, and how many tokens it held.
@@ -109,28 +111,28 @@
     /// How often it was told to drop what it had.
     pub(crate) restarts: u64,
     /// How often it came back.
-    pub(crate) repeats: u64,
+    pub(crate) retries: u64,
     /// Answers that began and did not end in order, and requests that were sent and not answered.
-    pub(crate) cuts: u64,
+    pub(crate) interruptions: u64,
     /// Event ids that did not continue the one before.
-    pub(crate) jumps: u64,
+    pub(crate) id_gaps: u64,
     /// Old connections that gave something other than the continuation of what was there.
-    pub(crate) strays: u64,
+    pub(crate) divergences: u64,
     /// The last error it was told.
     pub(crate) error: Option<Value>,
 }
 
 /// What a caller does besides waiting for its answer.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Manner {
+pub(crate) struct Behaviour {
     /// Once cancelled, the caller repeats its request while the old connection is still read.
-    pub(crate) cross: CancellationToken,
+    pub(crate) duplicate: CancellationToken,
     /// Once cancelled, the caller closes its connection and repeats its request elsewhere.
-    pub(crate) hop: CancellationToken,
+    pub(crate) switch_host: CancellationToken,
     /// Once cancelled, the caller goes away for good.
-    pub(crate) leave: CancellationToken,
+    pub(crate) abandon: CancellationToken,
     /// Whether the answer is asked for as one body.
-    pub(crate) is_whole: bool,
+    pub(crate) is_unary: bool,
 }
 
 /// The state of an answer's event ids.
@@ -140,59 +142,67 @@
     next: u64,
 }
 
-impl Ask {
+impl Caller {
     /// Asks until the answer is whole or the time is up.
-    pub(crate) async fn run(&self) -> Seen {
-        self.run_as(&Manner::default()).await
+    pub(crate) async fn run(&self) -> Transcript {
+        self.run_with(&Behaviour::default()).await
     }
 
     /// As [`Self::run`], with a manner of its own.
-    pub(crate) async fn run_as(&self, manner: &Manner) -> Seen {
-        let mut seen = Seen {
+    pub(crate) async fn run_with(&self, behaviour: &Behaviour) -> Transcript {
+        let mut transcript = Transcript {
             started: Instant::now(),
             arrivals: Vec::new(),
             text: String::new(),
             is_done: false,
             restarts: 0,
-            repeats: 0,
-            cuts: 0,
-            jumps: 0,
-            strays: 0,
+            retries: 0,
+            interruptions: 0,
+            id_gaps: 0,
+            divergences: 0,
             error: None,
         };
         let mut old = JoinSet::new();
         tokio::select! {
             // A caller without its answer at the end is counted as lost by whoever asked.
-            _ = timeout(self.limit, self.repeat(&mut seen, manner, &mut old)) => {}
-            () = manner.leave.cancelled() => {}
+            _ = timeout(self.limit, self.retry_until_done(&mut transcript, behaviour, &mut old)) => {}
+            () = behaviour.abandon.cancelled() => {}
         }
-        while let Some(is_sound) = old.join_next().await {
-            seen.strays += u64::from(!is_sound.unwrap_or(false));
+        while let Some(continues) = old.join_next().await {
+            transcript.divergences += u64::from(!continues.unwrap_or(false));
         }
-        seen
+        transcript
     }
 
-    async fn repeat(&self, seen: &mut Seen, manner: &Manner, old: &mut JoinSet<bool>) {
+    async fn retry_until_done(
+        &self,
+        transcript: &mut Transcript,
+        behaviour: &Behaviour,
+        old: &mut JoinSet<bool>,
+    ) {
         let mut position = Position::default();
         let mut host = self.first;
         loop {
-            if manner.is_whole {
-                self.whole(host, seen).await;
-            } else if let Some(left) = self.once(host, &mut position, seen, manner).await {
-                let (prompt, text) = (self.prompt.clone(), seen.text.clone());
-                old.spawn(read_old(left, prompt, text));
+            if behaviour.is_unary {
+                self.request_unary(host, transcript).await;
+            } else if let Some(open_events) = self
+                .request_stream(host, &mut position, transcript, behaviour)
+                .await
+            {
+                let (prompt, text) = (self.prompt.clone(), transcript.text.clone());
+                old.spawn(read_old(open_events, prompt, text));
             }
-            if seen.is_done {
+            if transcript.is_done {
                 return;
             }
-            seen.repeats += 1;
+            transcript.retries += 1;
             host += 1;
-            sleep(COME_BACK).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 
     /// Asks one host for the answer as one body.
-    async fn whole(&self, host: usize, seen: &mut Seen) {
+    async fn request_unary(&self, host: usize, transcript: &mut Transcript) {
         let addr = self.hosts[host % self.hosts.len()];
         let mut body = self.body();
         body["stream"] = Value::Bool(false);
@@ -202,51 +212,54 @@
         };
         let read = web::client::read_whole(addr, response).await;
         let Ok(bytes) = read else {
-            seen.error = read.err().map(|e| Value::String(e.to_string()));
+            transcript.error = read.err().map(|e| Value::String(e.to_string()));
             return;
         };
         let answer: Value = serde_json::from_slice(&bytes).unwrap_or_default();
         let text = answer["choices"][0]["text"].as_str().unwrap_or_default();
-        text.clone_into(&mut seen.text);
-        seen.is_done = true;
+        text.clone_into(&mut transcript.text);
+        transcript.is_done = true;
     }
 
     /// Asks one host, from where the answer stands; returns the connection if it is left open.
-    async fn once(
+    async fn request_stream(
         &self,
         host: usize,
         position: &mut Position,
-        seen: &mut Seen,
-        manner: &Manner,
-    ) -> Option<Events> {
+        transcript: &mut Transcript,
+        behaviour: &Behaviour,
+    ) -> Option<EventStream> {
         let addr = self.hosts[host % self.hosts.len()];
         let request = self.request(addr, &self.body(), position);
-        let (may_cross, may_hop) = (!manner.cross.is_cancelled(), !manner.hop.is_cancelled());
-        let response = match web::client::send(addr, request, HEAD).await {
+        let (may_duplicate, may_switch) = (
+            !behaviour.duplicate.is_cancelled(),
+            !behaviour.switch_host.is_cancelled(),
+        );
+        let response = match web::client::send(addr, request, HEAD_TIMEOUT).await {
             Ok(response) => response,
             Err(e) => {
-                seen.cuts += u64::from(!e.is_unsent());
+                transcript.interruptions += u64::from(!e.is_unsent());
                 return None;
             }
         };
         if !response.status().is_success() {
             let body = web::client::read_whole(addr, response).await;
-            seen.error = body.err().map(|e| Value::String(e.to_string()));
+            transcript.error = body.err().map(|e| Value::String(e.to_string()));
             return None;
         }
-        let mut events = Events::new(response.into_body());
+        let mut events = EventStream::new(response.into_body());
         loop {
             let event = tokio::select! {
                 event = events.next() => event,
-                () = manner.cross.cancelled(), if may_cross => return Some(events),
-                () = manner.hop.cancelled(), if may_hop => return None,
+                () = behaviour.duplicate.cancelled(), if may_duplicate => return Some(events),
+                () = behaviour.switch_host.cancelled(), if may_switch => return None,
             };
             let Some(event) = event else {
-                seen.cuts += 1;
+                transcript.interruptions += 1;
                 return None;
             };
-            if take(&event, position, seen) {
-                seen.cuts += u64::from(!seen.is_done);
+            if apply_event(&event, position, transcript) {
+                transcript.interruptions += u64::from(!transcript.is_done);
                 return None;
             }
         }
@@ -278,13 +291,13 @@
     }
 
     /// What is wrong with the answer, if anything.
-    pub(crate) fn judge(&self, seen: &Seen) -> Verdict {
+    pub(crate) fn judge(&self, transcript: &Transcript) -> Verdict {
         let (length, _) = sequence::length(&self.prompt, self.max_tokens);
-        if !seen.is_done {
+        if !transcript.is_done {
             return Verdict::Lost;
         }
-        match sequence::check(&self.prompt, &seen.text) {
-            Ok(count) if count == length && seen.jumps == 0 => Verdict::Exact,
+        match sequence::check(&self.prompt, &transcript.text) {
+            Ok(count) if count == length && transcript.id_gaps == 0 => Verdict::Exact,
             Ok(count) if count > length => Verdict::Repeated,
             Ok(_) => Verdict::Missing,
             Err(_) => Verdict::Mixed,
@@ -309,7 +322,7 @@
 
 /// Reads a connection that its caller no longer waits for; returns whether what it gives continues
 /// `text` without a flaw.
-async fn read_old(mut events: Events, prompt: String, mut text: String) -> bool {
+async fn read_old(mut events: EventStream, prompt: String, mut text: String) -> bool {
     let read = async {
         while let Some(event) = events.next().await {
             let data = event.data.as_deref().unwrap_or_default();
@@ -322,29 +335,29 @@
         }
     };
     // A connection that stays open without giving anything is no flaw of the answer.
-    let _ = timeout(OLD, read).await;
+    let _ = timeout(OLD_LIMIT, read).await;
     sequence::check(&prompt, &text).is_ok()
 }
 
 /// Takes in one event; returns whether the connection has no more to give.
-fn take(event: &Sse, position: &mut Position, seen: &mut Seen) -> bool {
+fn apply_event(event: &Sse, position: &mut Position, transcript: &mut Transcript) -> bool {
     let data = event.data.as_deref().unwrap_or_default();
     match event.event.as_deref() {
         Some("restart") => {
-            seen.restarts += 1;
-            seen.text.clear();
+            transcript.restarts += 1;
+            transcript.text.clear();
             position.next = 0;
             position.id.clone_from(&event.id);
             return false;
         }
         Some("error") => {
-            seen.error = serde_json::from_str(data).ok();
+            transcript.error = serde_json::from_str(data).ok();
             return true;
         }
         _ => {}
     }
     if data == "[DONE]" {
-        seen.is_done = true;
+        transcript.is_done = true;
         return true;
     }
     let Ok(body) = serde_json::from_str::<Value>(data) else {
@@ -352,16 +365,16 @@
     };
     let text = body["choices"][0]["text"].as_str().unwrap_or_default();
     let count = text.split_whitespace().count() as u64;
-    let told = event.id.as_deref().and_then(|id| id.split_once(':'));
-    let told = told.and_then(|(_, offset)| offset.parse::<u64>().ok());
+    let reported = event.id.as_deref().and_then(|id| id.split_once(':'));
+    let reported = reported.and_then(|(_, offset)| offset.parse::<u64>().ok());
     position.next += count;
-    if told != Some(position.next) {
-        seen.jumps += 1;
+    if reported != Some(position.next) {
+        transcript.id_gaps += 1;
     }
     position.id.clone_from(&event.id);
     if count > 0 {
-        seen.arrivals.push((Instant::now(), count));
-        seen.text.push_str(text);
+        transcript.arrivals.push((Instant::now(), count));
+        transcript.text.push_str(text);
     }
     false
 }
--- a/crates/gooseberry-bench/src/harness/fleet.rs
+++ b/crates/gooseberry-bench/src/harness/fleet.rs
@@ -27,29 +27,29 @@
 
 /// The longest wait for a process to become ready; it bounds the start of a run, not what is measured.
 /// Start-up took more than 10 s beside four busy processes a core.
-const READY: Duration = Duration::from_secs(60);
+const READY_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// The time between looks at whether a process is ready.
-const LOOK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The time limit of a call of the bench to a process.
-pub(crate) const CALL: Duration = Duration::from_secs(2);
+pub(crate) const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The operators' key.
-pub(crate) const OPERATOR: &str = "operator-key";
+pub(crate) const OPERATOR_KEY: &str = "operator-key";
 
 /// The ports of the processes; each host has an address of its own.
-const CALLERS: u16 = 7001;
-const ROUTER_PEERS: u16 = 7002;
-const ROUTER_ADMIN: u16 = 7003;
-const AGENT_PEERS: u16 = 7004;
-const AGENT_ADMIN: u16 = 7005;
-const BACKEND: u16 = 7010;
-const PLAIN: u16 = 7011;
-const PLATFORM: u16 = 7020;
+const CALLERS_PORT: u16 = 7001;
+const ROUTER_PEERS_PORT: u16 = 7002;
+const ROUTER_ADMIN_PORT: u16 = 7003;
+const AGENT_PEERS_PORT: u16 = 7004;
+const AGENT_ADMIN_PORT: u16 = 7005;
+const BACKEND_PORT: u16 = 7010;
+const PLAIN_PORT: u16 = 7011;
+const PLATFORM_PORT: u16 = 7020;
 
 /// The distance between the ports of the relays to one address.
-const RELAY_STEP: u16 = 100;
+const RELAY_PORT_STEP: u16 = 100;
 
 /// What a deployment consists of.
 #[derive(Clone, Debug)]
@@ -93,7 +93,7 @@
     /// Its process.
     pub(crate) process: Child,
     /// The keys of its calls, one a line, also of its earlier lives.
-    pub(crate) runs: PathBuf,
+    pub(crate) run_record: PathBuf,
     file: PathBuf,
 }
 
@@ -136,7 +136,7 @@
     /// The platform's address.
     pub(crate) platform_addr: SocketAddr,
     /// With relays, the platforms that show each further data centre its own addresses.
-    views: Vec<Child>,
+    extra_platforms: Vec<Child>,
     /// The entry hosts.
     pub(crate) hosts: Vec<EntryHost>,
     /// The engines.
@@ -155,17 +155,17 @@
 impl Fleet {
     /// Starts all processes and waits until every router takes requests.
     pub(crate) async fn start(programs: &Path, plan: &Plan) -> Result<Self, BenchError> {
-        Self::start_with(programs, plan, None).await
+        Self::start_relayed(programs, plan, None).await
     }
 
     /// As [`Self::start`], with connections between the processes going through `relays`.
-    pub(crate) async fn start_with(
+    pub(crate) async fn start_relayed(
         programs: &Path,
         plan: &Plan,
         relays: Option<&Relays>,
     ) -> Result<Self, BenchError> {
-        let folder = folder()?;
-        let count = relays.map_or(1, Relays::centres);
+        let folder = create_run_folder()?;
+        let count = relays.map_or(1, Relays::centre_count);
         let mut platforms = Vec::new();
         for view in 0..count {
             let mut settings = plan.platform.clone();
@@ -176,14 +176,14 @@
             let started = Child::start(programs, "gooseberry-standin", &["platform"], &file)?;
             platforms.push(started);
         }
-        let views = platforms.split_off(1);
+        let extra_platforms = platforms.split_off(1);
         let platform = platforms.remove(0);
         let mut fleet = Self {
             programs: programs.to_owned(),
             folder,
             platform,
             platform_addr: platform_address(0),
-            views,
+            extra_platforms,
             hosts: Vec::new(),
             engines: Vec::new(),
             plain: Vec::new(),
@@ -198,14 +198,14 @@
             fleet.start_plain(plan, i)?;
         }
         for i in 0..plan.hosts.len() {
-            let view = relays.map_or(0, |r| r.centre(&plan.hosts[i]));
+            let view = relays.map_or(0, |r| r.centre_index(&plan.hosts[i]));
             fleet.start_host(plan, i, platform_address(view))?;
         }
         for host in &fleet.hosts {
-            until_ready(host.admin, &host.callers.to_string()).await?;
+            wait_until_ready(host.admin, &host.callers.to_string()).await?;
         }
         let backends = plan.engines.len() + plan.plain.servers.len();
-        fleet.until_seen(backends).await?;
+        fleet.wait_for_backends(backends).await?;
         Ok(fleet)
     }
 
@@ -232,7 +232,7 @@
     ) -> Result<(), BenchError> {
         let platform = Platform {
             addr: self.platform_addr,
-            limit: CALL,
+            limit: CALL_TIMEOUT,
         };
         let name = engine_name(i);
         let listed = host_list(plan, None).into_iter().find(|h| h.name == name);
@@ -244,11 +244,12 @@
     }
 
     /// Waits until every router takes requests and sees every engine alive.
-    pub(crate) async fn settle(&self) -> Result<(), BenchError> {
+    pub(crate) async fn wait_until_serving(&self) -> Result<(), BenchError> {
         for host in &self.hosts {
-            until_ready(host.admin, &host.callers.to_string()).await?;
+            wait_until_ready(host.admin, &host.callers.to_string()).await?;
         }
-        self.until_seen(self.engines.len() + self.plain.len()).await
+        self.wait_for_backends(self.engines.len() + self.plain.len())
+            .await
     }
 
     /// Ends all processes and waits for them, so that their addresses are free again.
@@ -284,12 +285,12 @@
 
     /// The state dump of a router.
     pub(crate) async fn state(&self, host: usize) -> Result<Value, BenchError> {
-        Ok(web::client::get(self.hosts[host].admin, "/v1/state", CALL).await?)
+        Ok(web::client::get(self.hosts[host].admin, "/v1/state", CALL_TIMEOUT).await?)
     }
 
     /// What an engine has done.
     pub(crate) async fn engine_stats(&self, i: usize) -> Result<engine::Stats, BenchError> {
-        Ok(web::client::get(self.engines[i].addr, "/stats", CALL).await?)
+        Ok(web::client::get(self.engines[i].addr, "/stats", CALL_TIMEOUT).await?)
     }
 
     /// Switches a fault of a stand-in.
@@ -298,7 +299,8 @@
         addr: SocketAddr,
         fault: &gooseberry_standin::faults::Switch,
     ) -> Result<(), BenchError> {
-        let _: Value = web::client::call(addr, Method::POST, "/faults", fault, CALL).await?;
+        let _: Value =
+            web::client::call(addr, Method::POST, "/faults", fault, CALL_TIMEOUT).await?;
         Ok(())
     }
 
@@ -320,10 +322,10 @@
     }
 
     fn start_plain(&mut self, plan: &Plan, i: usize) -> Result<(), BenchError> {
-        let runs = self.folder.join(format!("{}.runs", plain_name(i)));
+        let run_record = self.folder.join(format!("{}.runs", plain_name(i)));
         let settings = service::Settings {
             listen: plain_address(i),
-            record: Some(runs.clone()),
+            record: Some(run_record.clone()),
             ..plan.plain.settings.clone()
         };
         let file = self.folder.join(format!("{}.json", plain_name(i)));
@@ -332,7 +334,7 @@
         self.plain.push(PlainServer {
             addr: settings.listen,
             process,
-            runs,
+            run_record,
             file,
         });
         Ok(())
@@ -363,23 +365,23 @@
     }
 
     /// Waits until every router sees this many live backend servers.
-    async fn until_seen(&self, count: usize) -> Result<(), BenchError> {
-        let deadline = Instant::now() + READY;
+    async fn wait_for_backends(&self, count: usize) -> Result<(), BenchError> {
+        let deadline = Instant::now() + READY_TIMEOUT;
         for i in 0..self.hosts.len() {
             loop {
                 // A host that is still starting may be late with its answer.
                 let state = self.state(i).await;
                 let backends = state.as_ref().ok().and_then(|s| s["backends"].as_array());
                 let is_alive = |b: &&Value| b["seen"]["alive"] == true;
-                let seen = backends.map_or(0, |all| all.iter().filter(is_alive).count());
-                if seen >= count {
+                let alive = backends.map_or(0, |all| all.iter().filter(is_alive).count());
+                if alive >= count {
                     break;
                 }
                 if Instant::now() > deadline {
                     state?;
                     return Err(BenchError::NotReady(format!("host {i}")));
                 }
-                sleep(LOOK).await;
+                sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
@@ -388,25 +390,28 @@
 
 /// Puts the first configuration into a platform's table.
 async fn put_document(addr: SocketAddr, document: &Document) -> Result<(), BenchError> {
-    let platform = Platform { addr, limit: CALL };
+    let platform = Platform {
+        addr,
+        limit: CALL_TIMEOUT,
+    };
     let first = Revision {
         version: Version(1),
         operation: OperationId::from("first"),
         changes: diff(&Document::default(), document),
     };
     let body = commit_ops(&HeadRow::default(), &first);
-    let deadline = Instant::now() + READY;
+    let deadline = Instant::now() + READY_TIMEOUT;
     loop {
         match platform.transact(&body).await {
             Ok(_) => return Ok(()),
             Err(e) if Instant::now() > deadline => return Err(e.into()),
-            Err(_) => sleep(LOOK).await,
+            Err(_) => sleep(POLL_INTERVAL).await,
         }
     }
 }
 
 /// The log of a run's own processes.
-fn log() -> Log {
+fn log_settings() -> Log {
     Log::default()
 }
 
@@ -415,18 +420,18 @@
         host: host_name(i),
         data_centre: plan.hosts[i].clone(),
         listen: RouterListen {
-            callers: host_address(i, CALLERS),
-            peers: host_address(i, ROUTER_PEERS),
-            admin: host_address(i, ROUTER_ADMIN),
+            callers: host_address(i, CALLERS_PORT),
+            peers: host_address(i, ROUTER_PEERS_PORT),
+            admin: host_address(i, ROUTER_ADMIN_PORT),
         },
-        agent: host_address(i, AGENT_PEERS),
+        agent: host_address(i, AGENT_PEERS_PORT),
         platform,
         platform_ms: 1_000,
         journal: journal::store::Limits::default(),
         claims: plan.plain.claims,
         drain_ms: 60_000,
-        operator_digest: Some(key_digest(OPERATOR)),
-        log: log(),
+        operator_digest: Some(key_digest(OPERATOR_KEY)),
+        log: log_settings(),
         statsd: plan.plain.statsd,
     }
 }
@@ -436,8 +441,8 @@
         host: host_name(i),
         data_centre: plan.hosts[i].clone(),
         listen: AgentListen {
-            peers: host_address(i, AGENT_PEERS),
-            admin: host_address(i, AGENT_ADMIN),
+            peers: host_address(i, AGENT_PEERS_PORT),
+            admin: host_address(i, AGENT_ADMIN_PORT),
         },
         platform,
         platform_ms: 1_000,
@@ -445,21 +450,21 @@
         load_ms: 250,
         peers: Vec::new(),
         spread: Topology::default(),
-        operator_digest: Some(key_digest(OPERATOR)),
-        log: log(),
+        operator_digest: Some(key_digest(OPERATOR_KEY)),
+        log: log_settings(),
         statsd: None,
     }
 }
 
 /// The platform's list of all hosts, as one data centre sees them through relays.
 fn host_list(plan: &Plan, view: Option<(&Relays, usize)>) -> Vec<Host> {
-    let through = |addr| view.map_or(addr, |(_, centre)| relay_address(centre, addr));
+    let dial_address = |addr| view.map_or(addr, |(_, centre)| relay_address(centre, addr));
     let entries = plan.hosts.iter().enumerate().map(|(i, data_centre)| Host {
         name: host_name(i).0,
         data_centre: data_centre.clone(),
         kind: HostKind::Entry {
-            router: through(host_address(i, ROUTER_PEERS)),
-            agent: host_address(i, AGENT_PEERS),
+            router: dial_address(host_address(i, ROUTER_PEERS_PORT)),
+            agent: host_address(i, AGENT_PEERS_PORT),
         },
         leaving: false,
     });
@@ -472,7 +477,7 @@
             data_centre: data_centre.clone(),
             kind: HostKind::Backend {
                 service: plan.service.clone(),
-                addr: through(engine_address(i)),
+                addr: dial_address(engine_address(i)),
             },
             leaving: false,
         });
@@ -490,9 +495,9 @@
 }
 
 /// The addresses behind relays, each with the data centre in which it is.
-pub(crate) fn relayed(plan: &Plan) -> Vec<(SocketAddr, DataCentre)> {
+pub(crate) fn relay_targets(plan: &Plan) -> Vec<(SocketAddr, DataCentre)> {
     let hosts = plan.hosts.iter().enumerate();
-    let hosts = hosts.map(|(i, d)| (host_address(i, ROUTER_PEERS), d.clone()));
+    let hosts = hosts.map(|(i, d)| (host_address(i, ROUTER_PEERS_PORT), d.clone()));
     let engines = plan.engines.iter().enumerate();
     let engines = engines.map(|(i, d)| (engine_address(i), d.clone()));
     hosts.chain(engines).collect()
@@ -501,11 +506,11 @@
 /// Where the processes of a data centre find `target`.
 pub(crate) fn relay_address(centre: usize, target: SocketAddr) -> SocketAddr {
     let shift = u16::try_from(centre + 1).unwrap_or(u16::MAX);
-    SocketAddr::new(target.ip(), target.port() + RELAY_STEP * shift)
+    SocketAddr::new(target.ip(), target.port() + RELAY_PORT_STEP * shift)
 }
 
 fn platform_address(view: usize) -> SocketAddr {
-    address(0, 1 + view, PLATFORM)
+    address(0, 1 + view, PLATFORM_PORT)
 }
 
 fn host_name(i: usize) -> HostId {
@@ -521,7 +526,7 @@
 }
 
 fn engine_address(i: usize) -> SocketAddr {
-    address(2, i, BACKEND)
+    address(2, i, BACKEND_PORT)
 }
 
 fn plain_name(i: usize) -> String {
@@ -529,7 +534,7 @@
 }
 
 fn plain_address(i: usize) -> SocketAddr {
-    address(2, i, PLAIN)
+    address(2, i, PLAIN_PORT)
 }
 
 /// A loopback address of this run; runs at the same time have addresses of their own.
@@ -542,7 +547,7 @@
 }
 
 /// A new folder for settings and logs.
-fn folder() -> Result<PathBuf, BenchError> {
+fn create_run_folder() -> Result<PathBuf, BenchError> {
     let name = format!("gooseberry-bench-{}", std::process::id());
     let folder = std::env::temp_dir().join(name);
     std::fs::create_dir_all(&folder).map_err(|cause| BenchError::File {
@@ -553,14 +558,14 @@
 }
 
 /// Waits until a process says that it is ready.
-async fn until_ready(admin: SocketAddr, name: &str) -> Result<(), BenchError> {
-    let deadline = Instant::now() + READY;
+async fn wait_until_ready(admin: SocketAddr, name: &str) -> Result<(), BenchError> {
+    let deadline = Instant::now() + READY_TIMEOUT;
     while Instant::now() < deadline {
-        let ready: Result<Value, _> = web::client::get(admin, "/v1/ready", CALL).await;
+        let ready: Result<Value, _> = web::client::get(admin, "/v1/ready", CALL_TIMEOUT).await;
         if ready.is_ok() {
             return Ok(());
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
     Err(BenchError::NotReady(name.to_owned()))
 }
--- a/crates/gooseberry-bench/src/harness/relay.rs
+++ b/crates/gooseberry-bench/src/harness/relay.rs
@@ -13,18 +13,18 @@
 use tokio::task::JoinSet;
 
 use super::BenchError;
-use super::fleet::{Plan, relay_address, relayed};
+use super::fleet::{Plan, relay_address, relay_targets};
 
 /// The bytes read at once.
-const PIECE: usize = 16 * 1024;
+const BUFFER_BYTES: usize = 16 * 1024;
 
 /// What a relay lets through.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Gate {
     /// Connections opened while this number was lower pass nothing more.
-    silences: u64,
+    stall_epoch: u64,
     /// Whether nothing passes.
-    is_parted: bool,
+    is_partitioned: bool,
 }
 
 /// One relay.
@@ -58,8 +58,8 @@
             relays: Vec::new(),
             _tasks: JoinSet::new(),
         };
-        for (target, centre) in relayed(plan) {
-            let to = all.centre(&centre);
+        for (target, centre) in relay_targets(plan) {
+            let to = all.centre_index(&centre);
             for from in 0..all.centres.len() {
                 all.listen(from, to, target).await?;
             }
@@ -68,27 +68,29 @@
     }
 
     /// How many data centres there are.
-    pub(crate) fn centres(&self) -> usize {
+    pub(crate) fn centre_count(&self) -> usize {
         self.centres.len()
     }
 
     /// The number of a data centre.
-    pub(crate) fn centre(&self, name: &DataCentre) -> usize {
+    pub(crate) fn centre_index(&self, name: &DataCentre) -> usize {
         self.centres.binary_search(name).unwrap_or(0)
     }
 
     /// Lets nothing more through on the connections to `target` that are open now.
-    pub(crate) fn silence(&self, target: SocketAddr) {
+    pub(crate) fn stall(&self, target: SocketAddr) {
         for relay in self.relays.iter().filter(|r| r.target == target) {
-            relay.gate.send_modify(|g| g.silences += 1);
+            relay.gate.send_modify(|g| g.stall_epoch += 1);
         }
     }
 
     /// Parts a data centre from all others, or joins it to them again.
-    pub(crate) fn part(&self, centre: usize, is_parted: bool) {
+    pub(crate) fn set_partitioned(&self, centre: usize, is_partitioned: bool) {
         let crosses = |r: &&Relay| (r.from == centre) != (r.to == centre);
         for relay in self.relays.iter().filter(crosses) {
-            relay.gate.send_modify(|g| g.is_parted = is_parted);
+            relay
+                .gate
+                .send_modify(|g| g.is_partitioned = is_partitioned);
         }
     }
 
@@ -127,8 +129,8 @@
 
 /// Passes on what both ends of one connection send, until one of them closes it.
 async fn relay(near: TcpStream, target: SocketAddr, mut gate: watch::Receiver<Gate>) {
-    let opened = gate.borrow().silences;
-    if gate.wait_for(|g| !g.is_parted).await.is_err() {
+    let opened_epoch = gate.borrow().stall_epoch;
+    if gate.wait_for(|g| !g.is_partitioned).await.is_err() {
         return;
     }
     // A target that doesn't listen shows as a connection closed at once.
@@ -141,8 +143,8 @@
     let (near_read, near_write) = near.into_split();
     let (far_read, far_write) = far.into_split();
     tokio::select! {
-        () = pump(near_read, far_write, gate.clone(), opened) => {}
-        () = pump(far_read, near_write, gate, opened) => {}
+        () = pump(near_read, far_write, gate.clone(), opened_epoch) => {}
+        () = pump(far_read, near_write, gate, opened_epoch) => {}
     }
 }
 
@@ -151,18 +153,18 @@
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     mut gate: watch::Receiver<Gate>,
-    opened: u64,
+    opened_epoch: u64,
 ) {
-    let mut piece = vec![0; PIECE];
+    let mut buffer = vec![0; BUFFER_BYTES];
     loop {
-        let Ok(count) = from.read(&mut piece).await else {
+        let Ok(count) = from.read(&mut buffer).await else {
             return;
         };
-        let passes = |g: &Gate| !g.is_parted && g.silences <= opened;
+        let passes = |g: &Gate| !g.is_partitioned && g.stall_epoch <= opened_epoch;
         if gate.wait_for(passes).await.is_err() {
             return;
         }
-        if count == 0 || to.write_all(&piece[..count]).await.is_err() {
+        if count == 0 || to.write_all(&buffer[..count]).await.is_err() {
             return;
         }
     }
--- a/crates/gooseberry-bench/src/soak.rs
+++ b/crates/gooseberry-bench/src/soak.rs
@@ -24,7 +24,7 @@
 use site::{Shape, Site};
 
 /// The time without faults before the end, after which everything must be served again.
-const CALM: Duration = Duration::from_secs(5);
+const RECOVERY_TIME: Duration = Duration::from_secs(5);
 
 /// In one of so many seeds only planned work is done, under which nothing may be cut.
 const PLANNED_EVERY: u64 = 4;
@@ -65,7 +65,7 @@
 
 /// Runs the seeds; whether none has a finding.
 pub(crate) async fn run(options: Options) -> Result<bool, BenchError> {
-    let folder = build::programs().await?;
+    let programs = build::programs().await?;
     let mut failed = Vec::new();
     let seeds: Vec<u64> = if options.regressions {
         REGRESSIONS.iter().map(|(seed, _)| *seed).collect()
@@ -74,7 +74,7 @@
     };
     for seed in &seeds {
         let seed = *seed;
-        let findings = one(&folder, &options, seed).await?;
+        let findings = run_seed(&programs, &options, seed).await?;
         for finding in &findings {
             println!("seed {seed}: {finding}");
         }
@@ -90,8 +90,8 @@
 }
 
 /// Runs one seed.
-async fn one(
-    folder: &std::path::Path,
+async fn run_seed(
+    programs: &std::path::Path,
     options: &Options,
     seed: u64,
 ) -> Result<Vec<Finding>, BenchError> {
@@ -101,7 +101,7 @@
         engines: options.engines,
         plain: (options.engines / 3).max(2),
     };
-    let mut site = Site::start(folder, seed, shape).await?;
+    let mut site = Site::start(programs, seed, shape).await?;
     let callers = Callers::start(&site, options.callers, seed);
     let end = tokio::time::Instant::now() + Duration::from_secs(options.seconds);
     let is_planned = seed.is_multiple_of(PLANNED_EVERY);
@@ -112,12 +112,12 @@
         let fault = Fault::draw(&mut rng, &shape, is_planned);
         println!("seed {seed}: {fault:?}");
         site.inject(&fault, &mut rng).await?;
-        site.revive()?;
+        site.restart_gateways()?;
         count += 1;
     }
     site.heal().await?;
-    tokio::time::sleep(CALM).await;
-    let mut findings = judge::recovered(&site, seed).await;
+    tokio::time::sleep(RECOVERY_TIME).await;
+    let mut findings = judge::check_recovery(&site, seed).await;
     let records = callers.stop().await;
     site.stop().await;
     findings.extend(judge::judge(&records, &site, is_planned));
--- a/crates/gooseberry-bench/src/soak/callers.rs
+++ b/crates/gooseberry-bench/src/soak/callers.rs
@@ -16,13 +16,13 @@
 use crate::soak::site::Site;
 
 /// How long a caller waits for an answer, in milliseconds.
-const PATIENCE_MS: u64 = 6_000;
+const ANSWER_TIMEOUT_MS: u64 = 6_000;
 
 /// How long a caller waits for a connection.
-const CONNECT: Millis = Millis(1_000);
+const CONNECT_TIMEOUT: Millis = Millis(1_000);
 
 /// The pause of a caller between two requests.
-const PAUSE: Duration = Duration::from_millis(40);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(40);
 
 /// What is asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, EnumCount, FromRepr, IntoStaticStr)]
@@ -44,11 +44,11 @@
     /// What was asked for.
     pub(crate) kind: Kind,
     /// The last event that the caller had.
-    pub(crate) from: u64,
+    pub(crate) last_event: u64,
     /// The answer, or why there was none.
     pub(crate) answer: Result<Answer, String>,
     /// Whether the caller was ended while it waited.
-    pub(crate) is_last: bool,
+    pub(crate) is_aborted: bool,
 }
 
 /// Callers at work.
@@ -62,14 +62,14 @@
 impl Callers {
     /// Starts `count` callers, which turn to all gateways.
     pub(crate) fn start(site: &Site, count: usize, seed: u64) -> Self {
-        let addrs: Vec<SocketAddr> = site.gateways.iter().map(|g| g.front.addr).collect();
+        let addrs: Vec<SocketAddr> = site.gateways.iter().map(|g| g.caller_proxy.addr).collect();
         let mut callers = Self {
             records: Arc::default(),
             stop: CancellationToken::new(),
             tasks: JoinSet::new(),
         };
         for number in 0..count {
-            let work = ask_on(
+            let work = run_caller(
                 addrs.clone(),
                 format!("{seed:x}-{number:x}"),
                 SmallRng::seed_from_u64(seed ^ ((number as u64) << 32)),
@@ -91,7 +91,7 @@
 }
 
 /// Asks one request after the other until `stop` is cancelled.
-async fn ask_on(
+async fn run_caller(
     addrs: Vec<SocketAddr>,
     name: String,
     mut rng: SmallRng,
@@ -103,50 +103,50 @@
         let kind = Kind::from_repr(rng.random_range(0..Kind::COUNT)).unwrap_or(Kind::Safe);
         let id = format!("{name}-{number:x}");
         let addr = addrs[rng.random_range(0..addrs.len())];
-        let from = if rng.random_ratio(1, 6) { 7 } else { 0 };
-        let work = ask(&mut link, addr, kind, &id, from);
-        let ended = stop.run_until_cancelled(work).await;
-        let is_last = ended.is_none();
+        let last_event = if rng.random_ratio(1, 6) { 7 } else { 0 };
+        let work = send_request(&mut link, addr, kind, &id, last_event);
+        let finished = stop.run_until_cancelled(work).await;
+        let is_aborted = finished.is_none();
         let record = Record {
             id,
             kind,
-            from: if kind == Kind::Draft { from } else { 0 },
-            answer: ended.unwrap_or_else(|| Err("the soak ended".to_owned())),
-            is_last,
+            last_event: if kind == Kind::Draft { last_event } else { 0 },
+            answer: finished.unwrap_or_else(|| Err("the soak ended".to_owned())),
+            is_aborted,
         };
         records
             .lock()
             .unwrap_or_else(|e| e.into_inner())
             .push(record);
-        if is_last {
+        if is_aborted {
             return;
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(REQUEST_INTERVAL).await;
     }
 }
 
 /// Asks one request over the connection that is kept, or a new one.
-pub(crate) async fn ask(
+pub(crate) async fn send_request(
     link: &mut Option<Link>,
     addr: SocketAddr,
     kind: Kind,
     id: &str,
-    from: u64,
+    last_event: u64,
 ) -> Result<Answer, String> {
     let mut open = match link.take().filter(|l| !l.is_closed()) {
         Some(open) => open,
-        None => Link::open(addr, CONNECT)
+        None => Link::open(addr, CONNECT_TIMEOUT)
             .await
             .map_err(|e| format!("no connection: {e}"))?,
     };
     let name: &'static str = kind.into();
     let path = format!("/{name}/a");
     let mut request = match kind {
-        Kind::Draft => caller::generation(id, &path, PATIENCE_MS),
-        Kind::Safe | Kind::Once => caller::request(id, &path, PATIENCE_MS),
+        Kind::Draft => caller::generation(id, &path, ANSWER_TIMEOUT_MS),
+        Kind::Safe | Kind::Once => caller::request(id, &path, ANSWER_TIMEOUT_MS),
     };
-    if kind == Kind::Draft && from > 0 {
-        caller::resume_after(&mut request, from);
+    if kind == Kind::Draft && last_event > 0 {
+        caller::resume_after(&mut request, last_event);
     }
     let work = async {
         match open.send(request).await {
@@ -154,7 +154,7 @@
             Err(error) => Err(format!("{error:?}, used before: {}", open.is_used)),
         }
     };
-    let limit = Duration::from_millis(PATIENCE_MS + 1_000);
+    let limit = Duration::from_millis(ANSWER_TIMEOUT_MS + 1_000);
     let answer = tokio::time::timeout(limit, work)
         .await
         .map_err(|_| "no answer in time".to_owned())??;
--- a/crates/gooseberry-bench/src/soak/faults.rs
+++ b/crates/gooseberry-bench/src/soak/faults.rs
@@ -114,7 +114,7 @@
             }
             Kind::RenewServer => {
                 self.kill_server(i).await;
-                self.renew_server(i).await?;
+                self.replace_server(i).await?;
             }
             Kind::PauseServer => {
                 if let Some(child) = self.server(i) {
@@ -124,7 +124,7 @@
                 }
             }
             Kind::DrainServer => self.drain(i).await?,
-            Kind::LapseServer => self.lapse(i).await?,
+            Kind::LapseServer => self.remove_row(i).await?,
             Kind::DisturbServer => disturb(&self.servers[i].proxy, rng),
             Kind::KillGateway => self.kill_gateway(i).await,
             Kind::PauseGateway => {
@@ -144,8 +144,8 @@
                     child.reload();
                 }
             }
-            Kind::DisturbCallers => disturb(&self.gateways[i].front, rng),
-            Kind::DisturbStore => disturb(&self.gateways[i].back, rng),
+            Kind::DisturbCallers => disturb(&self.gateways[i].caller_proxy, rng),
+            Kind::DisturbStore => disturb(&self.gateways[i].store_proxy, rng),
             Kind::StoreOutage => {
                 let outage = Some(rng.random());
                 self.switch_store(&Switch {
@@ -167,15 +167,15 @@
                 self.version += rng.random_range(1..5);
                 self.configure(documents::config(self.version)).await?;
             }
-            Kind::Heal => self.join_connections(),
+            Kind::Heal => self.heal_connections(),
         }
         Ok(())
     }
 
-    fn join_connections(&self) {
+    fn heal_connections(&self) {
         for gateway in &self.gateways {
-            gateway.front.heal();
-            gateway.back.heal();
+            gateway.caller_proxy.heal();
+            gateway.store_proxy.heal();
         }
         for server in &self.servers {
             server.proxy.heal();
@@ -185,17 +185,17 @@
 
 /// Disturbs the connections of a proxy in some way.
 fn disturb(proxy: &Proxy, rng: &mut SmallRng) {
-    let way = rng.random_range(0..6);
+    let choice = rng.random_range(0..6);
     let delay = rng.random_range(5..400);
-    proxy.change(|mode: &mut Mode| match way {
+    proxy.change(|mode: &mut Mode| match choice {
         0 => mode.delay_ms = delay,
-        1 => mode.cuts_there = true,
-        2 => mode.cuts_back = true,
-        3 => mode.silences += 1,
-        4 => mode.resets += 1,
+        1 => mode.blocks_requests = true,
+        2 => mode.blocks_answers = true,
+        3 => mode.stall_epoch += 1,
+        4 => mode.reset_epoch += 1,
         _ => {
-            mode.cuts_there = true;
-            mode.cuts_back = true;
+            mode.blocks_requests = true;
+            mode.blocks_answers = true;
         }
     });
 }
--- a/crates/gooseberry-bench/src/soak/judge.rs
+++ b/crates/gooseberry-bench/src/soak/judge.rs
@@ -4,33 +4,33 @@
 
 use thiserror::Error;
 
-use crate::soak::callers::{Kind, Record, ask};
+use crate::soak::callers::{Kind, Record, send_request};
 use crate::soak::site::{EVENTS, Site};
 
 /// The requests of each kind that every gateway must serve once all faults are over.
-const LAST_REQUESTS: usize = 5;
+const RECOVERY_REQUESTS: usize = 5;
 
 /// A broken promise.
 #[derive(Clone, Debug, Error)]
 pub(crate) enum Finding {
     /// A request that runs once at most ran more often.
     #[error("{id} ran {runs} times")]
-    Twice { id: String, runs: usize },
+    DuplicateRun { id: String, runs: usize },
     /// A request was refused as not run, and ran.
     #[error("{id} was refused as not run, and ran")]
     FalseRefusal { id: String },
     /// A success that is not the answer to the request.
     #[error("{id} was answered with {text:?}")]
-    Mixed { id: String, text: String },
+    WrongAnswer { id: String, text: String },
     /// Events that are missing, repeated or of another stream.
     #[error("{id} was answered with the events {text:?}")]
-    Order { id: String, text: String },
+    WrongEvents { id: String, text: String },
     /// A proper request was denied.
     #[error("{id} was denied with {status}")]
-    Denied { id: String, status: u16 },
+    Rejected { id: String, status: u16 },
     /// A request that was passed on got no whole answer although nothing failed.
     #[error("{id} was cut under planned work only: {cause}")]
-    Cut { id: String, cause: String },
+    Interrupted { id: String, cause: String },
     /// A request was not served although all faults are over.
     #[error("{id} was not served after the faults: {status:?}")]
     NotRecovered { id: String, status: Option<u16> },
@@ -40,7 +40,7 @@
 ///
 /// Where only planned work was done, each request that was passed on must have its whole answer.
 pub(crate) fn judge(records: &[Record], site: &Site, is_planned: bool) -> Vec<Finding> {
-    let runs = site.runs();
+    let runs = site.run_ids();
     let count = |id: &str| {
         let first = runs.partition_point(|r| r.as_str() < id);
         runs[first..].iter().take_while(|r| *r == id).count()
@@ -50,7 +50,7 @@
         let id = record.id.clone();
         let runs = count(&id);
         if record.kind == Kind::Once && runs > 1 {
-            findings.push(Finding::Twice {
+            findings.push(Finding::DuplicateRun {
                 id: id.clone(),
                 runs,
             });
@@ -64,8 +64,8 @@
             Ok(answer) => Some(format!("{} and half a body", answer.status)),
             Err(error) => Some(error.clone()),
         };
-        if let Some(cause) = cause.filter(|_| is_planned && runs > 0 && !record.is_last) {
-            findings.push(Finding::Cut { id, cause });
+        if let Some(cause) = cause.filter(|_| is_planned && runs > 0 && !record.is_aborted) {
+            findings.push(Finding::Interrupted { id, cause });
         }
         findings.extend(judge_answer(record));
     }
@@ -78,29 +78,29 @@
     let id = record.id.clone();
     let status = answer.status.as_u16();
     if matches!(status, 400 | 401 | 403 | 404 | 413 | 431) {
-        return Some(Finding::Denied { id, status });
+        return Some(Finding::Rejected { id, status });
     }
     if !answer.status.is_success() {
         return None;
     }
     let text = answer.text().to_owned();
     if record.kind == Kind::Draft {
-        let expected = caller::events(&id, record.from, EVENTS);
-        let is_right = expected.starts_with(&text) && (!answer.is_whole || text == expected);
-        return (!is_right).then_some(Finding::Order { id, text });
+        let expected = caller::events(&id, record.last_event, EVENTS);
+        let is_expected = expected.starts_with(&text) && (!answer.is_whole || text == expected);
+        return (!is_expected).then_some(Finding::WrongEvents { id, text });
     }
-    let is_right = answer.is_whole && text == caller::receipt(&id);
-    (!is_right && answer.is_whole).then_some(Finding::Mixed { id, text })
+    let is_expected = answer.is_whole && text == caller::receipt(&id);
+    (!is_expected && answer.is_whole).then_some(Finding::WrongAnswer { id, text })
 }
 
 /// Asks each gateway for each kind of request; all must be served.
-pub(crate) async fn recovered(site: &Site, seed: u64) -> Vec<Finding> {
+pub(crate) async fn check_recovery(site: &Site, seed: u64) -> Vec<Finding> {
     let mut findings = Vec::new();
     for (i, gateway) in site.gateways.iter().enumerate() {
         for kind in [Kind::Safe, Kind::Once, Kind::Draft] {
-            for n in 0..LAST_REQUESTS {
+            for n in 0..RECOVERY_REQUESTS {
                 let id = format!("last-{seed:x}-{i}-{kind}-{n}");
-                let answer = ask(&mut None, gateway.front.addr, kind, &id, 0).await;
+                let answer = send_request(&mut None, gateway.caller_proxy.addr, kind, &id, 0).await;
                 let is_served = answer
                     .as_ref()
                     .is_ok_and(|a| a.status.is_success() && a.is_whole);
@@ -123,9 +123,9 @@
     let is_served = |a: &&&Answer| a.status.is_success() && a.is_whole;
     let served = answers.iter().filter(is_served).count();
     let refused = answers.iter().filter(|a| a.is_refusal()).count();
-    let silent = records.len() - answers.len();
+    let unanswered = records.len() - answers.len();
     format!(
-        "{} requests, {served} served, {refused} refused, {silent} without an answer",
+        "{} requests, {served} served, {refused} refused, {unanswered} without an answer",
         records.len()
     )
 }
--- a/crates/gooseberry-bench/src/soak/proxy.rs
+++ b/crates/gooseberry-bench/src/soak/proxy.rs
@@ -12,7 +12,7 @@
 use crate::harness::BenchError;
 
 /// The bytes read at once.
-const PIECE: usize = 16 * 1024;
+const BUFFER_BYTES: usize = 16 * 1024;
 
 /// What a proxy does to its connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -20,13 +20,13 @@
     /// How much later bytes arrive, in milliseconds.
     pub(crate) delay_ms: u64,
     /// Whether nothing passes to the target.
-    pub(crate) cuts_there: bool,
+    pub(crate) blocks_requests: bool,
     /// Whether nothing passes from the target.
-    pub(crate) cuts_back: bool,
+    pub(crate) blocks_answers: bool,
     /// Connections opened while this number was lower pass nothing more.
-    pub(crate) silences: u64,
+    pub(crate) stall_epoch: u64,
     /// Connections opened while this number was lower are reset.
-    pub(crate) resets: u64,
+    pub(crate) reset_epoch: u64,
 }
 
 /// A proxy; it ends when it is dropped.
@@ -62,8 +62,8 @@
     pub(crate) fn heal(&self) {
         self.change(|m| {
             *m = Mode {
-                silences: m.silences,
-                resets: m.resets,
+                stall_epoch: m.stall_epoch,
+                reset_epoch: m.reset_epoch,
                 ..Mode::default()
             };
         });
@@ -76,13 +76,13 @@
         let Ok((stream, _)) = listener.accept().await else {
             continue;
         };
-        open.spawn(pass(stream, target, mode.subscribe()));
+        open.spawn(forward(stream, target, mode.subscribe()));
         while open.try_join_next().is_some() {}
     }
 }
 
 /// Passes on what both ends of one connection send, until one closes it or it is reset.
-async fn pass(near: TcpStream, target: SocketAddr, mode: watch::Receiver<Mode>) {
+async fn forward(near: TcpStream, target: SocketAddr, mode: watch::Receiver<Mode>) {
     let opened = *mode.borrow();
     // A target that does not listen shows as a connection closed at once.
     let Ok(far) = TcpStream::connect(target).await else {
@@ -94,11 +94,11 @@
     }
     let (near_read, near_write) = near.into_split();
     let (far_read, far_write) = far.into_split();
-    let mut resets = mode.clone();
+    let mut reset_epoch = mode.clone();
     tokio::select! {
-        () = pump(near_read, far_write, mode.clone(), opened, |m| m.cuts_there) => {}
-        () = pump(far_read, near_write, mode, opened, |m| m.cuts_back) => {}
-        _ = resets.wait_for(|m| m.resets > opened.resets) => {}
+        () = pump(near_read, far_write, mode.clone(), opened, |m| m.blocks_requests) => {}
+        () = pump(far_read, near_write, mode, opened, |m| m.blocks_answers) => {}
+        _ = reset_epoch.wait_for(|m| m.reset_epoch > opened.reset_epoch) => {}
     }
 }
 
@@ -108,14 +108,14 @@
     mut to: OwnedWriteHalf,
     mut mode: watch::Receiver<Mode>,
     opened: Mode,
-    cuts: fn(&Mode) -> bool,
+    is_blocked: fn(&Mode) -> bool,
 ) {
-    let mut piece = vec![0; PIECE];
+    let mut buffer = vec![0; BUFFER_BYTES];
     loop {
-        let Ok(count) = from.read(&mut piece).await else {
+        let Ok(count) = from.read(&mut buffer).await else {
             return;
         };
-        let passes = |m: &Mode| !cuts(m) && m.silences <= opened.silences;
+        let passes = |m: &Mode| !is_blocked(m) && m.stall_epoch <= opened.stall_epoch;
         let delay = match mode.wait_for(passes).await {
             Ok(mode) => mode.delay_ms,
             Err(_) => return,
@@ -123,7 +123,7 @@
         if delay > 0 {
             tokio::time::sleep(Duration::from_millis(delay)).await;
         }
-        if count == 0 || to.write_all(&piece[..count]).await.is_err() {
+        if count == 0 || to.write_all(&buffer[..count]).await.is_err() {
             return;
         }
     }
--- a/crates/gooseberry-bench/src/soak/site.rs
+++ b/crates/gooseberry-bench/src/soak/site.rs
@@ -25,13 +25,13 @@
 const CENTRES: [&str; 3] = ["a", "b", "c"];
 
 /// The time between SIGTERM and SIGKILL of a gateway.
-pub(crate) const GRACE: Duration = Duration::from_secs(8);
+pub(crate) const STOP_GRACE: Duration = Duration::from_secs(8);
 
 /// The longest wait for a call of the soak's own.
-const LIMIT: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The longest wait for the gateways to serve.
-const START: Duration = Duration::from_secs(20);
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// How many processes there are of each kind.
 #[derive(Clone, Copy, Debug)]
@@ -49,9 +49,9 @@
     /// Where the balancer asks whether it takes connections.
     pub(crate) ready: SocketAddr,
     /// Between callers and the gateway.
-    pub(crate) front: Proxy,
+    pub(crate) caller_proxy: Proxy,
     /// Between the gateway and the store.
-    pub(crate) back: Proxy,
+    pub(crate) store_proxy: Proxy,
 }
 
 /// A backend server and the proxy before it.
@@ -61,7 +61,7 @@
     file: PathBuf,
     settings: worker::Settings,
     centre: &'static str,
-    lives: u64,
+    incarnation: u64,
     /// Whether it is listed as leaving, or no longer listed.
     leaving: bool,
     pub(crate) proxy: Proxy,
@@ -70,8 +70,8 @@
 /// The whole deployment.
 #[derive(Debug)]
 pub(crate) struct Site {
-    folder: PathBuf,
-    files: PathBuf,
+    programs: PathBuf,
+    run_folder: PathBuf,
     store: Child,
     store_addr: SocketAddr,
     pub(crate) gateways: Vec<Gateway>,
@@ -104,21 +104,25 @@
 
 impl Site {
     /// Starts all processes and waits until the gateways serve.
-    pub(crate) async fn start(folder: &Path, seed: u64, shape: Shape) -> Result<Self, BenchError> {
+    pub(crate) async fn start(
+        programs: &Path,
+        seed: u64,
+        shape: Shape,
+    ) -> Result<Self, BenchError> {
         let name = format!("gooseberry-soak-{}-{seed}", std::process::id());
-        let files = std::env::temp_dir().join(name);
-        std::fs::create_dir_all(&files).map_err(|cause| BenchError::File {
-            file: files.clone(),
+        let run_folder = std::env::temp_dir().join(name);
+        std::fs::create_dir_all(&run_folder).map_err(|cause| BenchError::File {
+            file: run_folder.clone(),
             cause,
         })?;
         let mut addresses = Addresses::new(seed);
         let store_addr = addresses.next();
-        let file = files.join("store.json");
+        let file = run_folder.join("store.json");
         write_settings(&file, &store::Settings { listen: store_addr })?;
-        let store = Child::start(folder, "gooseberry-standin", &["site-store"], &file)?;
+        let store = Child::start(programs, "gooseberry-standin", &["site-store"], &file)?;
         let mut site = Self {
-            folder: folder.to_owned(),
-            files,
+            programs: programs.to_owned(),
+            run_folder,
             store,
             store_addr,
             gateways: Vec::new(),
@@ -156,24 +160,25 @@
             event_ms: 20,
             events: EVENTS,
             slots: 64,
-            record: Some(self.files.join(format!("server-{i}.runs"))),
+            record: Some(self.run_folder.join(format!("server-{i}.runs"))),
         };
-        let file = self.files.join(format!("server-{i}.json"));
+        let file = self.run_folder.join(format!("server-{i}.json"));
         let server = Server {
             child: None,
             file,
             settings,
             centre: CENTRES[i % CENTRES.len()],
-            lives: 1,
+            incarnation: 1,
             leaving: false,
             proxy: Proxy::start(public, listen).await?,
         };
         self.servers.push(server);
-        self.run_server(i)
+        self.spawn_server(i)
     }
 
     async fn add_gateway(&mut self, addresses: &mut Addresses, i: usize) -> Result<(), BenchError> {
-        let (own, front, back) = (addresses.next(), addresses.next(), addresses.next());
+        let (own, caller_proxy, store_proxy) =
+            (addresses.next(), addresses.next(), addresses.next());
         let on = |port: u16| SocketAddr::new(own.ip(), port);
         let settings = GatewaySettings {
             host: HostId(format!("host-{i}")),
@@ -184,54 +189,59 @@
                 peers: on(7_002),
                 metrics: on(7_003),
             },
-            store: back,
+            store: store_proxy,
             retries: Retries {
                 window_s: 10.0,
                 ratio: 0.8,
                 extra: 150.0,
             },
-            grace_s: GRACE.as_secs_f64(),
+            grace_s: STOP_GRACE.as_secs_f64(),
             leave_ms: 2_000,
             log_level: Level::Info,
         };
-        let file = self.files.join(format!("gateway-{i}.json"));
+        let file = self.run_folder.join(format!("gateway-{i}.json"));
         write_settings(&file, &settings)?;
         self.gateways.push(Gateway {
             child: None,
             file,
             ready: settings.listen.ready,
-            front: Proxy::start(front, own).await?,
-            back: Proxy::start(back, self.store_addr).await?,
+            caller_proxy: Proxy::start(caller_proxy, own).await?,
+            store_proxy: Proxy::start(store_proxy, self.store_addr).await?,
         });
-        self.run_gateway(i)
+        self.spawn_gateway(i)
     }
 
     /// Starts the process of a gateway.
-    fn run_gateway(&mut self, i: usize) -> Result<(), BenchError> {
+    fn spawn_gateway(&mut self, i: usize) -> Result<(), BenchError> {
         let gateway = &mut self.gateways[i];
-        let child = Child::start(&self.folder, "gooseberry-gateway", &[], &gateway.file)?;
+        let child = Child::start(&self.programs, "gooseberry-gateway", &[], &gateway.file)?;
         gateway.child = Some(child);
         Ok(())
     }
 
     /// Starts the process of a backend server under its present id.
-    fn run_server(&mut self, i: usize) -> Result<(), BenchError> {
+    fn spawn_server(&mut self, i: usize) -> Result<(), BenchError> {
         let server = &mut self.servers[i];
         write_settings(&server.file, &server.settings)?;
         let arguments = ["site-worker"];
-        let child = Child::start(&self.folder, "gooseberry-standin", &arguments, &server.file)?;
+        let child = Child::start(
+            &self.programs,
+            "gooseberry-standin",
+            &arguments,
+            &server.file,
+        )?;
         server.child = Some(child);
         Ok(())
     }
 
     /// Starts a backend server anew under another id and lists it.
-    pub(crate) async fn renew_server(&mut self, i: usize) -> Result<(), BenchError> {
+    pub(crate) async fn replace_server(&mut self, i: usize) -> Result<(), BenchError> {
         self.unlist(i).await?;
         let server = &mut self.servers[i];
-        server.lives += 1;
+        server.incarnation += 1;
         server.leaving = false;
-        server.settings.id = format!("server-{i}-{}", server.lives);
-        self.run_server(i)?;
+        server.settings.id = format!("server-{i}-{}", server.incarnation);
+        self.spawn_server(i)?;
         self.list(i).await
     }
 
@@ -272,7 +282,7 @@
     }
 
     /// Takes the row of a backend server away although it lives.
-    pub(crate) async fn lapse(&mut self, i: usize) -> Result<(), BenchError> {
+    pub(crate) async fn remove_row(&mut self, i: usize) -> Result<(), BenchError> {
         self.servers[i].leaving = true;
         self.unlist(i).await
     }
@@ -286,7 +296,7 @@
             engine,
             server.centre,
             state,
-            server.lives,
+            server.incarnation,
         );
         self.put(documents::SERVERS, &server.settings.id, Some(row))
             .await
@@ -309,25 +319,26 @@
             key: key.to_owned(),
             value,
         };
-        self.tell_store("/standin/put", &body).await
+        self.post_to_store("/standin/put", &body).await
     }
 
     /// Switches a fault of the store.
     pub(crate) async fn switch_store(&self, switch: &Switch) -> Result<(), BenchError> {
-        self.tell_store("/faults", switch).await
+        self.post_to_store("/faults", switch).await
     }
 
     /// Has the store forget its history.
     pub(crate) async fn compact(&self) -> Result<(), BenchError> {
-        self.tell_store("/standin/compact", &()).await
+        self.post_to_store("/standin/compact", &()).await
     }
 
-    async fn tell_store<T: serde::Serialize>(
+    async fn post_to_store<T: serde::Serialize>(
         &self,
         path: &str,
         body: &T,
     ) -> Result<(), BenchError> {
-        let answer = call::<T, Value>(self.store_addr, Method::POST, path, body, LIMIT).await;
+        let answer =
+            call::<T, Value>(self.store_addr, Method::POST, path, body, CALL_TIMEOUT).await;
         match answer {
             Ok(_) => Ok(()),
             // An empty answer is not JSON.
@@ -337,7 +348,7 @@
     }
 
     async fn wait_for_store(&self) -> Result<(), BenchError> {
-        let end = Instant::now() + START;
+        let end = Instant::now() + START_TIMEOUT;
         while self.compact().await.is_err() {
             if Instant::now() > end {
                 return Err(BenchError::NotReady("the store".to_owned()));
@@ -349,9 +360,9 @@
 
     /// Waits until every gateway is ready.
     pub(crate) async fn wait_until_ready(&self) -> Result<(), BenchError> {
-        let end = Instant::now() + START;
+        let end = Instant::now() + START_TIMEOUT;
         for gateway in &self.gateways {
-            while !is_ready(gateway.ready).await {
+            while !accepts_connections(gateway.ready).await {
                 if Instant::now() > end {
                     return Err(BenchError::NotReady(gateway.file.display().to_string()));
                 }
@@ -371,16 +382,16 @@
         })
         .await?;
         for i in 0..self.gateways.len() {
-            self.gateways[i].front.heal();
-            self.gateways[i].back.heal();
+            self.gateways[i].caller_proxy.heal();
+            self.gateways[i].store_proxy.heal();
             if let Some(child) = self.gateway(i) {
                 child.thaw();
             }
         }
         // Those that were told to stop end within their grace.
-        let end = Instant::now() + GRACE;
-        while Instant::now() < end && !self.all_ready().await {
-            self.revive()?;
+        let end = Instant::now() + STOP_GRACE;
+        while Instant::now() < end && !self.all_accept_connections().await {
+            self.restart_gateways()?;
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
         for i in 0..self.servers.len() {
@@ -390,25 +401,25 @@
             }
             if self.servers[i].child.is_none() || self.servers[i].leaving {
                 self.kill_server(i).await;
-                self.renew_server(i).await?;
+                self.replace_server(i).await?;
             }
         }
         self.wait_until_ready().await
     }
 
     /// Starts every gateway again whose process has ended.
-    pub(crate) fn revive(&mut self) -> Result<(), BenchError> {
+    pub(crate) fn restart_gateways(&mut self) -> Result<(), BenchError> {
         for i in 0..self.gateways.len() {
             if self.gateway(i).is_none_or(Child::has_ended) {
-                self.run_gateway(i)?;
+                self.spawn_gateway(i)?;
             }
         }
         Ok(())
     }
 
-    async fn all_ready(&self) -> bool {
+    async fn all_accept_connections(&self) -> bool {
         for gateway in &self.gateways {
-            if !is_ready(gateway.ready).await {
+            if !accepts_connections(gateway.ready).await {
                 return false;
             }
         }
@@ -416,18 +427,18 @@
     }
 
     /// The ids that ran, each as often as it ran.
-    pub(crate) fn runs(&self) -> Vec<String> {
-        let files = self
+    pub(crate) fn run_ids(&self) -> Vec<String> {
+        let records = self
             .servers
             .iter()
             .filter_map(|s| s.settings.record.as_ref());
         // A server that never ran anything has no file.
-        let texts = files.filter_map(|f| std::fs::read_to_string(f).ok());
-        let mut runs: Vec<String> = texts
+        let texts = records.filter_map(|f| std::fs::read_to_string(f).ok());
+        let mut run_ids: Vec<String> = texts
             .flat_map(|t| t.lines().map(str::to_owned).collect::<Vec<_>>())
             .collect();
-        runs.sort_unstable();
-        runs
+        run_ids.sort_unstable();
+        run_ids
     }
 
     /// Ends every process.
@@ -444,8 +455,8 @@
 }
 
 /// Whether a gateway takes connections.
-pub(crate) async fn is_ready(addr: SocketAddr) -> bool {
-    let answer = web::client::get::<Value>(addr, "/readyz", LIMIT).await;
+pub(crate) async fn accepts_connections(addr: SocketAddr) -> bool {
+    let answer = web::client::get::<Value>(addr, "/readyz", CALL_TIMEOUT).await;
     // A success whose body is not JSON is what a gateway answers.
     matches!(answer, Ok(_) | Err(web::client::CallError::Decode { .. }))
 }
