--- a/crates/gooseberry-bench/src/faults.rs
+++ b/crates/gooseberry-bench/src/faults.rs
@@ -1,5 +1,5 @@
-//! `faults`: real processes fail while many answers are under way; every answer is checked token by
-//! token, and what the failures cost is measured.
+//! `faults`: injects failures into real processes while many streams are in flight. Checks every
+//! answer token by token, and measures the time to resume and the extra work.
 
 mod case;
 mod inject;
@@ -30,37 +30,37 @@
 use site::{Deployment, Site, Variant};
 use wave::{Outcome, Testbed};
 
-/// The longest that one baseline may take.
+/// Time limit of the process of one baseline.
 const BASELINE_LIMIT: Duration = Duration::from_secs(90);
 
-/// The failure-free waves that run at once.
+/// Number of fault-free waves that run concurrently.
 const PARALLEL_WAVES: usize = 3;
 
-/// How the experiment runs.
+/// Options of `faults`.
 #[derive(Clone, Debug, Bpaf)]
 pub(crate) struct Options {
-    /// Whose deployment: `sao-mai` or `nyah`.
+    /// The deployment: `sao-mai` or `nyah`.
     #[bpaf(long, argument("NAME"))]
     profile: Deployment,
-    /// The seed from which faults are drawn.
+    /// The seed of the faults: their order, combinations, targets and times.
     #[bpaf(long, argument("N"), fallback(1))]
     seed: u64,
-    /// Only this fault, or two joined by `+`.
+    /// Run a single wave with this fault, or several joined by `+`.
     #[bpaf(long, argument("NAME"), optional)]
     fault: Option<Case>,
-    /// How many streams are in flight in each wave.
+    /// The number of callers in each wave.
     #[bpaf(long, argument("N"), fallback(120))]
     streams: usize,
-    /// What carries the streams over a failure: `resume`, `scratch` or `timeout`.
+    /// How streams recover from a failure: `resume`, `scratch` or `timeout`.
     #[bpaf(long, argument("NAME"), fallback(Variant::Resume))]
     variant: Variant,
-    /// Leave the baselines out.
+    /// Skip the baselines.
     no_baselines: bool,
     /// Print the report as JSON only.
     json: bool,
 }
 
-/// Runs the experiment; returns whether every answer was whole.
+/// Runs the experiment; returns whether every answer was exact and no stream was left running.
 pub(crate) async fn run(options: Options) -> Result<bool, BenchError> {
     let programs = build::programs().await?;
     let mut site = Site::new(options.profile, options.variant, options.streams);
@@ -78,7 +78,7 @@
     let passed = report::passed(&report);
     if !options.json {
         let verdict = if passed {
-            "every answer is whole"
+            "every answer is exact"
         } else {
             "FAILED"
         };
@@ -87,16 +87,16 @@
     Ok(passed)
 }
 
-/// All that was seen in one run.
+/// Measurements of one run.
 struct Run {
     outcomes: Vec<Outcome>,
-    /// The work of the same waves without a failure.
+    /// Work of the engines for the same waves without a fault.
     fault_free: ledger::Work,
     router: Latencies,
     direct: Latencies,
 }
 
-/// The waves of this run: one fault, two at a time, or all.
+/// The faults of each wave: the given case only, or all that apply to the variant.
 fn cases(options: &Options) -> Vec<Case> {
     if let Some(case) = &options.fault {
         return vec![case.clone()];
@@ -145,8 +145,8 @@
     })
 }
 
-/// The report of the same seed under another way of carrying streams over a failure, run by a
-/// process of its own.
+/// Runs the same seed with another variant in a child process and returns its report, or an object
+/// with the key `failed`.
 async fn baseline(options: &Options, variant: Variant) -> Value {
     let failed = |cause: String| serde_json::json!({ "failed": cause });
     let program = match std::env::current_exe() {
--- a/crates/gooseberry-bench/src/faults/case.rs
+++ b/crates/gooseberry-bench/src/faults/case.rs
@@ -1,4 +1,4 @@
-//! The faults and their combinations.
+//! Kinds of faults, and the case of faults that each wave injects.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,41 +8,41 @@
 use rand::seq::SliceRandom;
 use strum::{Display, EnumIter, EnumString, IntoEnumIterator};
 
-/// The waves with two faults at a time.
+/// Number of waves with two faults.
 const PAIRS: usize = 3;
 
-/// One kind of failure.
+/// A kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Display, EnumIter, EnumString)]
 #[strum(serialize_all = "snake_case")]
 pub(crate) enum Fault {
-    /// An engine dies.
+    /// Kills an engine.
     EngineKilled,
-    /// An engine pauses and comes back with late tokens.
+    /// Suspends an engine for a while, which then sends late tokens.
     EnginePaused,
-    /// Connections to an engine go silent while new ones work.
+    /// Stalls the open connections to an engine; new ones work.
     ConnectionSilenced,
-    /// Several engines of a data centre die at once.
+    /// Kills several engines of one data centre.
     EnginesKilled,
-    /// An engine dies and is started again at its address.
+    /// Kills an engine and restarts it at once at the same address.
     EngineRestarted,
-    /// An engine dies, then one on which its streams go on.
+    /// Kills an engine, then another on which one of its streams resumed.
     ResumeKilled,
-    /// A router dies.
+    /// Kills a router.
     RouterKilled,
-    /// A router pauses, its requests are taken over, it wakes.
+    /// Suspends a router for long enough that others take over its requests, then resumes it.
     RouterPaused,
-    /// Callers repeat their requests while the old connections still run.
+    /// Some callers send their requests again while the old connections are still open.
     CallersCrossed,
-    /// A router dies, then another of its data centre.
+    /// Kills a router, then another of the same data centre: an owner whose witness was lost first.
     WitnessThenOwner,
-    /// A data centre is parted from the others; some of its callers come back on the far side.
+    /// Partitions a data centre from the others; some callers of its hosts retry at a host outside.
     CentresParted,
-    /// Callers go away for good.
+    /// Some callers close their connections and do not retry.
     CallersGone,
 }
 
 impl Fault {
-    /// Whether the loss shows by a connection that closes.
+    /// Whether a loss closes connections. The others leave them open and idle.
     pub(crate) fn closes_connections(self) -> bool {
         !matches!(
             self,
@@ -53,23 +53,24 @@
         )
     }
 
-    /// Whether only engines and their connections are hit.
+    /// Whether it affects only engines and the connections to them.
     fn is_engine(self) -> bool {
         self <= Self::ResumeKilled
     }
 }
 
-/// The faults of one wave.
+/// The faults of one wave, written as their names joined by `+`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Case(pub(crate) Vec<Fault>);
 
 impl Case {
-    /// Whether the baselines are measured under it: they know no takeover of a router's requests.
+    /// Whether the baselines run it too. They leave out faults of routers and callers, as they have
+    /// no takeover of a router's requests.
     pub(crate) fn has_baseline(&self) -> bool {
         self.0.iter().all(|f| f.is_engine())
     }
 
-    /// Whether every loss shows by a connection that closes.
+    /// Whether every loss closes connections.
     pub(crate) fn closes_connections(&self) -> bool {
         self.0.iter().all(|f| f.closes_connections())
     }
@@ -88,14 +89,14 @@
     fn from_str(text: &str) -> Result<Self, String> {
         let known: Vec<String> = Fault::iter().map(|f| f.to_string()).collect();
         let one = |name: &str| {
-            let message = || format!("no fault {name:?}; write one of {}", known.join(", "));
+            let message = || format!("unknown fault {name:?}; use one of {}", known.join(", "));
             Fault::from_str(name).map_err(|_| message())
         };
         text.split('+').map(one).collect::<Result<_, _>>().map(Self)
     }
 }
 
-/// Each fault alone, and pairs of an engine's and another.
+/// Each fault alone, and [`PAIRS`] pairs of an engine's fault and another, in random order.
 pub(crate) fn draw(random: &mut StdRng) -> Vec<Case> {
     let mut cases: Vec<Case> = Fault::iter().map(|f| Case(vec![f])).collect();
     let (mut engine, mut other): (Vec<Fault>, Vec<Fault>) =
--- a/crates/gooseberry-bench/src/faults/inject.rs
+++ b/crates/gooseberry-bench/src/faults/inject.rs
@@ -1,4 +1,4 @@
-//! Brings about the failures of one wave and mends them.
+//! Injects the faults of one wave and undoes them.
 
 use std::time::Duration;
 
@@ -11,28 +11,28 @@
 use super::wave::{Callers, Testbed};
 use crate::harness::BenchError;
 
-/// The shortest and the longest pause of an engine, in milliseconds.
+/// Bounds of the suspension of an engine, in milliseconds.
 const ENGINE_PAUSE_MS: [u64; 2] = [1_000, 3_000];
 
-/// The shortest and the longest pause of a router, in milliseconds.
+/// Bounds of the suspension of a router, in milliseconds.
 const ROUTER_PAUSE_MS: [u64; 2] = [2_500, 4_000];
 
-/// The engines with most streams, among which faults choose.
+/// Faults choose among this many engines, those with the most streams.
 const BUSY_ENGINES: usize = 10;
 
-/// How long data centres are parted.
+/// Duration of a partition.
 const PARTITION_TIME: Duration = Duration::from_secs(3);
 
-/// The engines that die at once.
+/// Number of engines that `engines_killed` kills.
 const KILLED_ENGINES: usize = 3;
 
-/// The time from the death of a witness to that of the owner.
+/// Delay between killing the witness and killing the owner.
 const OWNER_DELAY: Duration = Duration::from_millis(400);
 
-/// The longest wait for a stream to go on elsewhere.
+/// The longest wait for a stream to resume at another engine.
 const RESUME_WAIT: Duration = Duration::from_millis(500);
 
-/// What is undone while the wave runs on.
+/// How a temporary fault is undone; holds the index of its target.
 #[derive(Clone, Copy, Debug)]
 enum Repair {
     Engine(usize),
@@ -40,10 +40,10 @@
     Centre(usize),
 }
 
-/// What was hit, and when.
+/// Faults injected into one wave, their times and targets.
 #[derive(Debug, Default)]
 pub(crate) struct Injection {
-    /// When each loss began.
+    /// When each loss began; faults of callers have none.
     pub(crate) loss_times: Vec<Instant>,
     repairs: Vec<(Instant, Repair)>,
     killed_engines: Vec<usize>,
@@ -53,7 +53,7 @@
 }
 
 impl Injection {
-    /// Brings about all faults of `case`.
+    /// Injects all faults of `case`, one after the other.
     pub(crate) async fn inject(
         &mut self,
         testbed: &mut Testbed,
@@ -105,7 +105,7 @@
         Ok(())
     }
 
-    /// Undoes pauses and partitions as they fall due.
+    /// Ends suspensions and partitions at the times set for them.
     pub(crate) async fn repair(&mut self, testbed: &mut Testbed) {
         self.repairs.sort_unstable_by_key(|(at, _)| *at);
         for (at, repair) in self.repairs.drain(..) {
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Starts again what died.
+    /// Restarts the engines and routers that were killed.
     pub(crate) async fn restart_killed(&mut self, testbed: &mut Testbed) -> Result<(), BenchError> {
         for engine in self.killed_engines.drain(..) {
             testbed.fleet.engines[engine].process.wait().await;
@@ -131,7 +131,7 @@
         Ok(())
     }
 
-    /// Draws one of the engines that run many streams and were not hit.
+    /// Draws one of the [`BUSY_ENGINES`] that no fault of this wave has hit.
     async fn draw_engine(&mut self, testbed: &mut Testbed) -> usize {
         let live = counts(testbed, |s| s.live).await;
         let mut remaining = remaining(live.len(), &self.hit_engines);
@@ -187,7 +187,7 @@
         self.repairs.push((until, Repair::Router(router)));
     }
 
-    /// Kills engines of one data centre.
+    /// Kills up to [`KILLED_ENGINES`] of one data centre, the busiest first.
     async fn kill_engines(&mut self, testbed: &mut Testbed) -> Result<(), BenchError> {
         let first = self.draw_engine(testbed).await;
         let centre = testbed.plan.engines[first].clone();
@@ -207,7 +207,8 @@
         Ok(())
     }
 
-    /// Kills an engine, then the first on which one of its streams goes on.
+    /// Kills an engine, then the first one that starts a new stream, as that is where one of its
+    /// streams resumed.
     async fn kill_engine_and_successor(&mut self, testbed: &mut Testbed) -> Result<(), BenchError> {
         let first = self.draw_engine(testbed).await;
         let before = counts(testbed, |s| s.streams).await;
@@ -225,7 +226,7 @@
         Ok(())
     }
 
-    /// Kills a router, then another of its data centre.
+    /// Kills a router, then another of the same data centre.
     async fn kill_witness_and_owner(&mut self, testbed: &mut Testbed) {
         let witness = self.draw_router(testbed);
         let centre = testbed.plan.hosts[witness].clone();
@@ -255,19 +256,19 @@
     }
 }
 
-/// The numbers below `count` that were not drawn before.
+/// Indices below `count` that were not drawn before.
 fn remaining(count: usize, drawn: &[usize]) -> Vec<usize> {
     (0..count).filter(|i| !drawn.contains(i)).collect()
 }
 
-/// Draws one of `left`.
+/// Draws one of `remaining`, which must not be empty, and adds it to `drawn`.
 fn draw(testbed: &mut Testbed, remaining: &[usize], drawn: &mut Vec<usize>) -> usize {
     let one = remaining[testbed.random.random_range(0..remaining.len())];
     drawn.push(one);
     one
 }
 
-/// A count of each engine; 0 where it gives no answer.
+/// A counter of each engine; 0 where an engine does not answer.
 async fn counts(testbed: &Testbed, count: fn(Stats) -> u64) -> Vec<u64> {
     let calls = (0..testbed.fleet.engines.len()).map(|i| testbed.fleet.engine_stats(i));
     let answers = join_all(calls).await;
--- a/crates/gooseberry-bench/src/faults/ledger.rs
+++ b/crates/gooseberry-bench/src/faults/ledger.rs
@@ -1,4 +1,4 @@
-//! The work that engines have done, over their deaths.
+//! Work done by all engines, including processes that were killed.
 
 use std::ops::{Add, Sub};
 
@@ -9,19 +9,19 @@
 use crate::harness::BenchError;
 use crate::harness::fleet::Fleet;
 
-/// Tokens computed.
+/// Tokens computed by engines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub(crate) struct Work {
-    /// Tokens of prompts and prefixes that were not found in a cache.
+    /// Prompt and prefix tokens that were not cached.
     pub(crate) prefill: u64,
-    /// The part of them for later attempts.
+    /// The part of `prefill` that was for a second or later attempt of a stream.
     pub(crate) again: u64,
-    /// Tokens given.
+    /// Output tokens.
     pub(crate) decode: u64,
 }
 
 impl Work {
-    /// All tokens.
+    /// Prefill and output tokens.
     pub(crate) fn total(self) -> u64 {
         self.prefill + self.decode
     }
@@ -61,14 +61,14 @@
     }
 }
 
-/// The work of engines that have died.
+/// Keeps the counters of killed engine processes, which a restart sets to 0.
 #[derive(Debug, Default)]
 pub(crate) struct Ledger {
     killed: Work,
 }
 
 impl Ledger {
-    /// Notes what an engine has done; it is killed right after.
+    /// Adds the counters of an engine; to be called right before it is killed.
     pub(crate) async fn record_killed(
         &mut self,
         fleet: &Fleet,
@@ -78,7 +78,7 @@
         Ok(())
     }
 
-    /// What all engines have done so far; all must be alive.
+    /// Work of all engines since the start of the run; fails unless all answer.
     pub(crate) async fn total(&self, fleet: &Fleet) -> Result<Work, BenchError> {
         let stats = stats(fleet).await?;
         let sum = stats.into_iter().map(Work::from);
@@ -86,7 +86,7 @@
     }
 }
 
-/// The statistics of all engines.
+/// Fetches the counters of all engines; fails unless all answer.
 pub(crate) async fn stats(fleet: &Fleet) -> Result<Vec<Stats>, BenchError> {
     let calls = (0..fleet.engines.len()).map(|i| fleet.engine_stats(i));
     join_all(calls).await.into_iter().collect()
--- a/crates/gooseberry-bench/src/faults/measure.rs
+++ b/crates/gooseberry-bench/src/faults/measure.rs
@@ -1,4 +1,5 @@
-//! Times: from a loss until output goes on, and between tokens through a router and without.
+//! Resume times after a loss, and token latencies through the routers and directly from the
+//! engines.
 
 use std::time::Duration;
 
@@ -10,23 +11,27 @@
 use crate::harness::caller::Transcript;
 use crate::harness::fleet::Fleet;
 
-/// A silence of this length after a loss shows that a stream was hit by it.
+/// A gap between tokens longer than this after a loss counts as an interruption by it.
 const MIN_STALL: Duration = Duration::from_millis(80);
 
-/// The wave number of the measurement without a failure.
+/// Wave number of the fault-free measurement; it makes the prompts differ from those of other
+/// waves.
 const FAULT_FREE_WAVE: usize = 1_000;
 
 /// The longest wait for an engine to accept a stream.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The times of some streams.
+/// Token latencies of a set of streams.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Latencies {
+    /// Time to first token of each stream that got one.
     pub(crate) ttfts: Vec<Duration>,
+    /// Time between successive tokens, of all streams.
     pub(crate) gaps: Vec<Duration>,
 }
 
-/// The times from a loss, or from the last token before, until the next token.
+/// For each interruption after the first loss, the time until the next token. It counts from the
+/// loss during the gap, or from the token before the gap if no loss lies within it.
 pub(crate) fn resume_times(transcript: &Transcript, losses: &[Instant]) -> Vec<Duration> {
     let Some(first) = losses.iter().min() else {
         return Vec::new();
@@ -35,14 +40,15 @@
     pairs
         .filter(|(before, after)| after > first && *after - *before > MIN_STALL)
         .map(|(before, after)| {
-            // The latest loss that lies within the silence is the one that it began with.
+            // If several losses lie within the gap, the earliest counts.
             let within = losses.iter().filter(|t| **t > before && **t < after);
             after - within.min().copied().unwrap_or(before)
         })
         .collect()
 }
 
-/// The times of streams through the routers and of as many directly from the engines, side by side.
+/// Measures half as many streams as a wave has through the routers, and concurrently as many
+/// directly from the engines.
 pub(crate) async fn latencies(fleet: &Fleet, site: &Site) -> (Latencies, Latencies) {
     let callers: Vec<_> = (0..site.streams / 2)
         .map(|i| site.caller(fleet, "calm", FAULT_FREE_WAVE, i, false))
@@ -57,7 +63,7 @@
     (gather(routed), gather(direct.into_iter()))
 }
 
-/// Reads one stream from an engine; returns when it was asked for and when each token came.
+/// Reads one stream directly from an engine; returns its start and the arrival of each token.
 async fn read_direct(fleet: &Fleet, site: &Site, i: usize) -> (Instant, Vec<Instant>) {
     let started = Instant::now();
     let engine = &fleet.engines[i % fleet.engines.len()];
--- a/crates/gooseberry-bench/src/faults/report.rs
+++ b/crates/gooseberry-bench/src/faults/report.rs
@@ -1,4 +1,4 @@
-//! What a run says.
+//! The JSON report of a run.
 
 use std::process::Command;
 use std::time::Duration;
@@ -12,10 +12,10 @@
 use crate::harness::caller::Verdict;
 use crate::harness::report::{Times, times};
 
-/// The flaws told in full.
+/// The number of wrong answers that the report describes.
 const MAX_FLAWS: usize = 20;
 
-/// The whole report, without baselines.
+/// The report of one variant, without the baselines.
 pub(crate) fn build(options: &Options, site: &Site, run: &Run) -> Value {
     let all: Vec<&Outcome> = run.outcomes.iter().collect();
     let token_total: u64 = all.iter().map(|o| o.token_total).sum();
@@ -47,13 +47,13 @@
     report
 }
 
-/// Whether every answer of the run is whole and nothing was left running.
+/// Whether every answer is exact and no engine was left with a running stream.
 pub(crate) fn passed(report: &Value) -> bool {
     let flaws = ["missing", "repeated", "mixed", "lost", "left_running"];
     flaws.iter().all(|f| report[*f] == 0)
 }
 
-/// The part of the run that the baselines repeat.
+/// The figures of the waves that the baselines run too.
 fn compared(run: &Run, token_total: u64) -> Value {
     let some: Vec<&Outcome> = run
         .outcomes
@@ -63,7 +63,7 @@
     figures(&some, run.fault_free, token_total)
 }
 
-/// The figures of some waves.
+/// The figures of some waves; `token_total` is that of all waves of the run.
 fn figures(outcomes: &[&Outcome], fault_free: Work, token_total: u64) -> Value {
     let count = |v: Verdict| {
         let all = outcomes.iter().flat_map(|o| &o.verdicts);
@@ -89,10 +89,12 @@
     })
 }
 
-/// Work beyond the failure-free run, as a fraction of it.
+/// Extra work as a fraction of the fault-free work; `share` is the part of the run that these waves
+/// make up, by tokens.
 ///
-/// The prefill of first attempts is left out on both sides: it differs between two runs by where
-/// the balancer put a request and what the cache held there, with or without a failure.
+/// The extra prefill is that of later attempts only. The prefill of first attempts differs between
+/// two runs also without a fault, as it depends on where the balancer placed a request and what the
+/// cache held there.
 fn extra_work(work: Work, fault_free: Work, share: f64) -> Value {
     let fault_free_total = fault_free.total() as f64 * share;
     let prefill = work.again as f64;
@@ -126,7 +128,7 @@
     })
 }
 
-/// The commit of the code, if it is known.
+/// The commit of the sources as `git describe --dirty` prints it; `None` if git cannot be run.
 pub(crate) fn commit() -> Option<String> {
     let mut command = Command::new("git");
     command.args(["-C", env!("CARGO_MANIFEST_DIR")]);
--- a/crates/gooseberry-bench/src/faults/site.rs
+++ b/crates/gooseberry-bench/src/faults/site.rs
@@ -1,4 +1,4 @@
-//! The deployments of both users, near their sizes of today.
+//! The two deployments that the experiment models, near their present sizes.
 
 use std::time::Duration;
 
@@ -16,62 +16,63 @@
 use crate::harness::caller::Caller;
 use crate::harness::fleet::{Fleet, PlainPlan, Plan};
 
-/// The entry hosts of each user.
+/// Number of entry hosts of each deployment.
 const HOSTS: usize = 8;
 
-/// The most tokens of an answer.
+/// `max_tokens` of a request.
 const MAX_TOKENS: u64 = 160;
 
-/// How many times longer the answers are whose callers go away.
+/// Factor on [`MAX_TOKENS`] for callers that abandon their request.
 const LONG_FACTOR: u64 = 10;
 
-/// The documents that prompts begin with.
+/// Number of different documents that prompts begin with.
 const DOCUMENTS: usize = 24;
 
-/// The bytes of such a document.
+/// Size of a document, in bytes.
 const DOCUMENT_BYTES: usize = 4_096;
 
-/// The prompt blocks that an engine's cache holds: three documents and some more.
+/// Prompt blocks that an engine's cache holds: room for three documents and a few more blocks.
 const CACHE_BLOCKS: usize = 220;
 
-/// The longest that one answer may take.
+/// Time limit of a caller for its complete answer.
 const ANSWER_LIMIT: Duration = Duration::from_secs(15);
 
-/// The bearer key of the workspace.
+/// API key of the workspace.
 const BEARER: &str = "bench-key";
 
-/// The fixed timeout of the baseline that knows no other sign of a loss, in milliseconds.
+/// The fixed timeout of the `timeout` baseline, its only sign of a loss, in milliseconds.
 const FIXED_TIMEOUT_MS: u64 = 5_000;
 
-/// Whose deployment.
+/// A deployment, with its topology and profile.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, EnumString, Serialize)]
 #[strum(serialize_all = "kebab-case")]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum Deployment {
-    /// Sao Mai Call Sheet Router Fleet, which weighs the time to resume.
+    /// Sao Mai Call Sheet Router Fleet, whose profile favours a short time to resume.
     SaoMai,
-    /// Freedom of Information Router at NYAH, which weighs the extra work.
+    /// Freedom of Information Router at NYAH, whose profile favours little extra work.
     Nyah,
 }
 
-/// What carries the streams over a failure.
+/// How streams recover from a failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, EnumString, Serialize)]
 #[strum(serialize_all = "snake_case")]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Variant {
-    /// The user's profile.
+    /// As the deployment's profile sets it.
     Resume,
-    /// Suspicion as in the profile, then again from the first token.
+    /// Suspicion as in the profile, then a restart from the first token.
     Scratch,
-    /// A fixed timeout, then again from the first token.
+    /// A fixed timeout, then a restart from the first token.
     Timeout,
 }
 
-/// One deployment and its callers.
+/// The processes, configuration and callers of one run.
 #[derive(Clone, Debug)]
 pub(crate) struct Site {
     pub(crate) deployment: Deployment,
     pub(crate) variant: Variant,
+    /// Number of callers in each wave.
     pub(crate) streams: usize,
 }
 
@@ -84,7 +85,7 @@
         }
     }
 
-    /// The processes of the deployment.
+    /// The processes to start and their configuration.
     pub(crate) fn plan(&self) -> Plan {
         let centres = self.centres();
         let spread = |count: usize| {
@@ -131,7 +132,7 @@
         engine::Settings::default().models.remove(0)
     }
 
-    /// The user's profile, changed for a baseline.
+    /// The deployment's policy, changed for a baseline.
     fn policy(&self) -> Policy {
         let base = match self.deployment {
             Deployment::SaoMai => sao_mai(),
@@ -153,7 +154,7 @@
         }
     }
 
-    /// How long a generation goes on for a caller that went away.
+    /// How long a generation goes on after its caller has disconnected.
     pub(crate) fn orphan_limit(&self) -> Duration {
         Duration::from_millis(self.policy().orphan_ms)
     }
@@ -189,7 +190,7 @@
         }
     }
 
-    /// The request of one caller of a wave.
+    /// Caller `i` of a wave; `run` is a prefix that keeps its key apart from those of other runs.
     pub(crate) fn caller(
         &self,
         fleet: &Fleet,
@@ -215,7 +216,7 @@
     }
 }
 
-/// A long document, which several callers share, and a question of one caller's own.
+/// A prompt of a long document, which several callers share, and a question that is unique to one.
 pub(crate) fn prompt(wave: usize, i: usize) -> String {
     let document = (wave * 5 + i / 5) % DOCUMENTS;
     let line = format!("Document {document}: the scene is set at dawn, the crew is on the road. ");
@@ -224,7 +225,7 @@
     text
 }
 
-/// Sao Mai: output goes on as soon as can be.
+/// Sao Mai: short timeouts and hedging, so that output resumes as soon as possible.
 fn sao_mai() -> Policy {
     Policy {
         mode: Mode::Latency,
@@ -241,7 +242,7 @@
     }
 }
 
-/// NYAH: no work is done twice unless an engine is certainly gone.
+/// NYAH: work is repeated only once an engine has certainly failed.
 fn nyah() -> Policy {
     Policy {
         mode: Mode::Cost,
--- a/crates/gooseberry-bench/src/faults/wave.rs
+++ b/crates/gooseberry-bench/src/faults/wave.rs
@@ -1,4 +1,4 @@
-//! One wave: many callers at once, a failure in the middle, and what each caller saw.
+//! One wave: many concurrent callers, faults while their streams run, and the check of each answer.
 
 use std::time::Duration;
 
@@ -17,61 +17,65 @@
 use crate::harness::fleet::{Fleet, Plan};
 use crate::harness::relay::Relays;
 
-/// The shortest and the longest time from the first request to the failure, in milliseconds.
+/// Bounds of the time from the first request to the fault, in milliseconds.
 const FAULT_DELAY_MS: [u64; 2] = [500, 900];
 
-/// One caller in this many asks for the answer as one body.
+/// One caller in this many requests the answer as one body.
 const UNARY_EVERY: usize = 10;
 
-/// One caller in this many goes away, where callers do.
+/// One caller in this many abandons its request under `callers_gone`.
 const ABANDON_EVERY: usize = 6;
 
-/// The longest wait for engines to end what nobody waits for, beyond the profile's bound.
+/// The longest wait for engines to become idle, beyond the time for which orphaned generations go
+/// on.
 const IDLE_WAIT: Duration = Duration::from_secs(2);
 
-/// The time between looks at the engines.
+/// The interval of polls of the engines.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The prompt bytes that an engine counts as one token.
+/// Prompt bytes that an engine counts as one token.
 const TOKEN_BYTES: u64 = 4;
 
-/// A deployment under test.
+/// A running deployment and the state of the experiment on it.
 pub(crate) struct Testbed {
     pub(crate) fleet: Fleet,
     pub(crate) relays: Relays,
     pub(crate) plan: Plan,
     pub(crate) ledger: Ledger,
+    /// Draws the targets and times of faults.
     pub(crate) random: StdRng,
 }
 
-/// The callers of a wave.
+/// The callers of a wave and, at the same indices, their behaviours.
 #[derive(Clone, Debug)]
 pub(crate) struct Callers {
     callers: Vec<Caller>,
     behaviours: Vec<Behaviour>,
 }
 
-/// What came of a wave.
+/// Results of a wave.
 #[derive(Debug)]
 pub(crate) struct Outcome {
     pub(crate) case: Case,
     pub(crate) verdicts: Vec<Verdict>,
+    /// Number of `restart` events that callers received.
     pub(crate) restarted: u64,
     pub(crate) retries: u64,
-    /// Callers that went away for good, and so have no verdict.
+    /// Callers that abandoned their request; they have no verdict.
     pub(crate) abandoned: u64,
-    /// The streams that engines still ran after the bound.
+    /// Streams that engines still ran when the wait for them to become idle expired.
     pub(crate) left_running: u64,
     pub(crate) resume_times: Vec<Duration>,
+    /// Work of the engines during the wave.
     pub(crate) work: Work,
-    /// The tokens that the wave takes without a failure or a cache.
+    /// Tokens of all prompts and answers: the work without faults and caches.
     pub(crate) token_total: u64,
-    /// What callers without a whole answer were told last, and under which key.
+    /// A description of each answer that is not exact, with the caller's key and last error.
     pub(crate) flaws: Vec<String>,
 }
 
 impl Callers {
-    /// The callers of wave `wave`; `run` makes their keys differ from those of other runs.
+    /// The callers of wave `wave`; `run` is the prefix of their keys.
     fn new(testbed: &Testbed, site: &Site, run: &str, wave: usize, case: Option<&Case>) -> Self {
         let will_abandon = |i: usize| {
             let has_fault = case.is_some_and(|c| c.0.contains(&Fault::CallersGone));
@@ -88,19 +92,19 @@
         }
     }
 
-    /// Lets every third caller repeat its request beside the old connection.
+    /// Makes every third caller send its request again while its old connection is open.
     pub(crate) fn duplicate(&self) {
         let chosen = self.behaviours.iter().step_by(3);
         chosen.for_each(|b| b.duplicate.cancel());
     }
 
-    /// Lets some callers go away for good.
+    /// Makes one caller in [`ABANDON_EVERY`] abandon its request.
     pub(crate) fn abandon(&self) {
         let chosen = self.behaviours.iter().step_by(ABANDON_EVERY);
         chosen.for_each(|b| b.abandon.cancel());
     }
 
-    /// Lets every second caller of some of the hosts come back elsewhere.
+    /// Makes every second caller of the hosts that `is_inside` selects retry at the next host.
     pub(crate) fn switch_host(&self, is_inside: impl Fn(usize) -> bool, hosts: usize) {
         let inside = (0..self.behaviours.len()).filter(|i| is_inside(i % hosts));
         for i in inside.step_by(2) {
@@ -117,7 +121,7 @@
         self.behaviours[i].abandon.is_cancelled()
     }
 
-    /// The tokens of all prompts and answers.
+    /// Tokens of all prompts and answers.
     fn token_total(&self) -> u64 {
         let one = |caller: &Caller| {
             let (length, _) = sequence::length(&caller.prompt, caller.max_tokens);
@@ -127,7 +131,7 @@
     }
 }
 
-/// Runs some waves at once without a failure.
+/// Runs some waves concurrently without faults, then waits until the engines are idle.
 pub(crate) async fn run_fault_free(
     testbed: &Testbed,
     site: &Site,
@@ -141,7 +145,7 @@
     Ok(())
 }
 
-/// Runs one wave.
+/// Runs one wave with the faults of `case`, and restarts what they killed.
 pub(crate) async fn run(
     testbed: &mut Testbed,
     site: &Site,
@@ -212,7 +216,7 @@
     outcome
 }
 
-/// The verdict on one answer; an old connection that went astray counts as a mixed one.
+/// The verdict on one answer; a superseded connection that diverged makes it [`Verdict::Mixed`].
 fn verdict(caller: &Caller, transcript: &Transcript) -> Verdict {
     if transcript.divergences > 0 {
         return Verdict::Mixed;
@@ -220,7 +224,7 @@
     caller.judge(transcript)
 }
 
-/// What is known of an answer that is not exact.
+/// Describes an answer that is not exact.
 fn flaw(caller: &Caller, transcript: &Transcript, verdict: Verdict) -> String {
     let error = transcript.error.as_ref().map(ToString::to_string);
     format!(
@@ -234,7 +238,7 @@
     )
 }
 
-/// Waits until no engine runs a stream; returns how many still run after the bound.
+/// Waits until no engine runs a stream, at most for `bound`; returns how many still run.
 async fn wait_until_idle(fleet: &Fleet, bound: Duration) -> Result<u64, BenchError> {
     let deadline = Instant::now() + bound;
     loop {
--- a/crates/gooseberry-bench/src/harness.rs
+++ b/crates/gooseberry-bench/src/harness.rs
@@ -1,4 +1,4 @@
-//! Starts the processes of a deployment, injects faults and watches callers.
+//! Shared parts of the experiments: processes of a deployment, faults, callers and measurements.
 
 pub(crate) mod build;
 pub(crate) mod caller;
@@ -13,40 +13,42 @@
 
 use thiserror::Error;
 
-/// Why an experiment could not be carried out.
+/// Why an experiment could not run to its end.
 #[derive(Debug, Error)]
 pub(crate) enum BenchError {
-    /// The programs could not be built.
-    #[error("the programs could not be built: {0}; run `cargo build --workspace --bins`")]
+    /// Cargo failed to build the programs; holds the cause or its exit status.
+    #[error("cannot build the programs: {0}; run `cargo build --workspace --bins` to see why")]
     Build(String),
-    /// A process could not be started.
-    #[error("{program} could not be started: {cause}; build it first")]
+    /// A process could not be spawned, or its log file not be opened.
+    #[error(
+        "cannot start {program}: {cause}; check that it is built and that its log file is writable"
+    )]
     Start {
-        /// The program.
+        /// File name of the program.
         program: String,
-        /// The cause given by the system.
+        /// Error of the operating system.
         cause: std::io::Error,
     },
-    /// A file could not be written.
-    #[error("{file} could not be written: {cause}; free some space")]
+    /// A file or folder of the run could not be written.
+    #[error("cannot write {file}: {cause}; check its permissions and the free disk space")]
     File {
-        /// The file.
+        /// Path of the file or folder.
         file: PathBuf,
-        /// The cause given by the system.
+        /// Error of the operating system.
         cause: std::io::Error,
     },
-    /// An address of the bench itself cannot be had.
-    #[error("cannot listen on {addr}: {cause}; end what uses the address")]
+    /// A relay or proxy of the bench could not bind its address.
+    #[error("cannot listen on {addr}: {cause}; stop the process that uses the address")]
     Listen {
-        /// The address.
+        /// Loopback address of the relay or proxy.
         addr: std::net::SocketAddr,
-        /// The cause given by the system.
+        /// Error of the operating system.
         cause: std::io::Error,
     },
-    /// A process did not become ready.
-    #[error("{0} did not become ready in time; see its log")]
+    /// A process did not become ready before the start-up timeout; holds its name or address.
+    #[error("{0} did not become ready before the start-up timeout; see its log")]
     NotReady(String),
-    /// A call of the bench itself failed.
+    /// An HTTP call from the bench to a process failed.
     #[error(transparent)]
     Call(#[from] web::client::CallError),
 }
--- a/crates/gooseberry-bench/src/harness/build.rs
+++ b/crates/gooseberry-bench/src/harness/build.rs
@@ -1,4 +1,4 @@
-//! Builds the programs that an experiment starts, and finds them.
+//! Builds the programs that experiments start and locates the binaries.
 
 use std::path::{Path, PathBuf};
 
@@ -6,7 +6,7 @@
 
 use super::BenchError;
 
-/// The programs that experiments start.
+/// The packages to build; each has a binary of the same name.
 const PROGRAMS: [&str; 4] = [
     "gooseberry-router",
     "gooseberry-agent",
@@ -14,10 +14,11 @@
     "gooseberry-standin",
 ];
 
-/// The manifest through which the workspace is found from any folder.
+/// The manifest of this crate, so that Cargo finds the workspace from any working directory.
 const MANIFEST: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/Cargo.toml");
 
-/// Builds the programs with the profile of this one and returns their folder.
+/// Builds the programs with the Cargo profile of the running bench, and returns the folder of the
+/// binaries.
 pub(crate) async fn programs() -> Result<PathBuf, BenchError> {
     let own = std::env::current_exe().map_err(|e| BenchError::Build(e.to_string()))?;
     let folder = own.parent().unwrap_or(Path::new(".")).to_owned();
@@ -39,7 +40,7 @@
     Ok(folder)
 }
 
-/// The commit of the sources, with a mark if they were changed since.
+/// The commit of the sources as `git describe --dirty` prints it; `unknown` without git.
 pub(crate) async fn commit() -> String {
     let folder = Path::new(MANIFEST).parent().unwrap_or(Path::new("."));
     let mut command = Command::new("git");
--- a/crates/gooseberry-bench/src/harness/caller.rs
+++ b/crates/gooseberry-bench/src/harness/caller.rs
@@ -1,4 +1,5 @@
-//! A caller that keeps repeating its request until it has the whole answer.
+//! A caller that retries its request until it has the complete answer, and the check of that
+//! answer.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,10 +19,11 @@
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 use tokio_util::sync::CancellationToken;
 
-/// One connection's events, and when its last bytes came.
+/// Server-sent events of one connection, with an idle timeout.
 struct EventStream {
     events: BoxStream<'static, Result<Sse, sse_stream::Error>>,
-    /// The milliseconds from the opening to the last bytes; keep-alives make no event.
+    /// Milliseconds from `opened` to the last body frame. Keep-alive comments count here although
+    /// they yield no event.
     last_read: Arc<AtomicU64>,
     opened: Instant,
 }
@@ -46,7 +48,8 @@
         }
     }
 
-    /// The next event, if one comes before the connection closes or is silent for too long.
+    /// The next event; `None` if the connection closes, fails, or receives no bytes for
+    /// [`IDLE_TIMEOUT`].
     async fn next(&mut self) -> Option<Sse> {
         loop {
             let last_read = Duration::from_millis(self.last_read.load(Ordering::Relaxed));
@@ -64,78 +67,78 @@
     }
 }
 
-/// The longest wait for the head of an answer.
+/// The longest wait for the response head of a stream.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// The longest silence, keep-alives included, after which a caller comes back.
+/// The time without any bytes, keep-alives included, after which a caller retries.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How long the old connection of a caller that repeated its request is still read.
+/// How long a superseded connection is read on after the caller has sent its request again.
 const OLD_LIMIT: Duration = Duration::from_secs(5);
 
-/// The wait before a caller comes back.
+/// The delay before each retry.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// What one caller asks for.
+/// One caller and its request.
 #[derive(Clone, Debug)]
 pub(crate) struct Caller {
-    /// The idempotency key.
+    /// Idempotency key; every retry uses the same.
     pub(crate) key: String,
-    /// The bearer key.
+    /// API key, sent as the bearer token.
     pub(crate) bearer: String,
-    /// The service.
+    /// Service name, sent as the `model` of the request.
     pub(crate) model: String,
-    /// The prompt.
+    /// Prompt; it determines the expected length of the answer.
     pub(crate) prompt: String,
-    /// The most tokens.
+    /// `max_tokens` of the request.
     pub(crate) max_tokens: u64,
-    /// The entry hosts to use, in turn.
+    /// Caller-side addresses of the entry hosts; each retry goes to the next one.
     pub(crate) hosts: Vec<SocketAddr>,
-    /// The host to begin with.
+    /// Index of the host that gets the first attempt, modulo their number.
     pub(crate) first: usize,
-    /// The longest time for the whole answer.
+    /// Time limit for the complete answer, over all attempts.
     pub(crate) limit: Duration,
 }
 
-/// What one caller saw.
+/// What one caller received, over all attempts.
 #[derive(Clone, Debug)]
 pub(crate) struct Transcript {
-    /// When it first asked.
+    /// When the first attempt started.
     pub(crate) started: Instant,
-    /// When each event with tokens came, and how many tokens it held.
+    /// Arrival time and token count of each event with tokens.
     pub(crate) arrivals: Vec<(Instant, u64)>,
-    /// The text.
+    /// Text of the answer so far, emptied by each `restart` event.
     pub(crate) text: String,
-    /// Whether the answer ended in order.
+    /// Whether the answer ended with `[DONE]`, or came as one body.
     pub(crate) is_done: bool,
-    /// How often it was told to drop what it had.
+    /// Number of `restart` events, each of which discards the text.
     pub(crate) restarts: u64,
-    /// How often it came back.
+    /// Number of attempts that did not complete the answer.
     pub(crate) retries: u64,
-    /// Answers that began and did not end in order, and requests that were sent and not answered.
+    /// Attempts that were sent and got no response head, or whose stream ended without `[DONE]`.
     pub(crate) interruptions: u64,
-    /// Event ids that did not continue the one before.
+    /// Events whose id is not the offset after the tokens received so far.
     pub(crate) id_gaps: u64,
-    /// Old connections that gave something other than the continuation of what was there.
+    /// Superseded connections whose further tokens did not continue the text.
     pub(crate) divergences: u64,
-    /// The last error it was told.
+    /// The last error received, as an event or as an error response.
     pub(crate) error: Option<Value>,
 }
 
-/// What a caller does besides waiting for its answer.
+/// How a caller departs from reading one stream to its end.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Behaviour {
-    /// Once cancelled, the caller repeats its request while the old connection is still read.
+    /// When cancelled, the caller sends its request again and reads on the old connection as well.
     pub(crate) duplicate: CancellationToken,
-    /// Once cancelled, the caller closes its connection and repeats its request elsewhere.
+    /// When cancelled, the caller closes its connection and retries at the next host.
     pub(crate) switch_host: CancellationToken,
-    /// Once cancelled, the caller goes away for good.
+    /// When cancelled, the caller closes its connection and does not retry.
     pub(crate) abandon: CancellationToken,
-    /// Whether the answer is asked for as one body.
+    /// Whether the request has `stream: false`, so that the answer is one body.
     pub(crate) is_unary: bool,
 }
 
-/// The state of an answer's event ids.
+/// Position in the stream: the last event id, and the offset of the next token.
 #[derive(Clone, Debug, Default)]
 struct Position {
     id: Option<String>,
@@ -143,12 +146,12 @@
 }
 
 impl Caller {
-    /// Asks until the answer is whole or the time is up.
+    /// Sends the request and retries until the answer is complete or the time limit is over.
     pub(crate) async fn run(&self) -> Transcript {
         self.run_with(&Behaviour::default()).await
     }
 
-    /// As [`Self::run`], with a manner of its own.
+    /// As [`Self::run`], with the given behaviour.
     pub(crate) async fn run_with(&self, behaviour: &Behaviour) -> Transcript {
         let mut transcript = Transcript {
             started: Instant::now(),
@@ -164,8 +167,11 @@
         };
         let mut old = JoinSet::new();
         tokio::select! {
-            // A caller without its answer at the end is counted as lost by whoever asked.
-            _ = timeout(self.limit, self.retry_until_done(&mut transcript, behaviour, &mut old)) => {}
+            // An answer that is incomplete at the time limit is judged as `Verdict::Lost`.
+            _ = timeout(
+                self.limit,
+                self.retry_until_done(&mut transcript, behaviour, &mut old),
+            ) => {}
             () = behaviour.abandon.cancelled() => {}
         }
         while let Some(continues) = old.join_next().await {
@@ -201,7 +207,7 @@
         }
     }
 
-    /// Asks one host for the answer as one body.
+    /// Sends the request with `stream: false` to one host.
     async fn request_unary(&self, host: usize, transcript: &mut Transcript) {
         let addr = self.hosts[host % self.hosts.len()];
         let mut body = self.body();
@@ -221,7 +227,8 @@
         transcript.is_done = true;
     }
 
-    /// Asks one host, from where the answer stands; returns the connection if it is left open.
+    /// Sends the request to one host, resuming after the last event, and reads the stream. Returns
+    /// the connection if the caller is to duplicate its request while this one stays open.
     async fn request_stream(
         &self,
         host: usize,
@@ -290,7 +297,7 @@
         request
     }
 
-    /// What is wrong with the answer, if anything.
+    /// Compares the answer with the expected token sequence and length.
     pub(crate) fn judge(&self, transcript: &Transcript) -> Verdict {
         let (length, _) = sequence::length(&self.prompt, self.max_tokens);
         if !transcript.is_done {
@@ -305,23 +312,23 @@
     }
 }
 
-/// What an answer turned out to be.
+/// The result of checking an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Verdict {
-    /// Each token once, in order, of one generation.
+    /// Every token once, in order and from one generation, with contiguous event ids.
     Exact,
-    /// Tokens are missing.
+    /// Tokens are missing, or the event ids are not contiguous.
     Missing,
-    /// There are more tokens than the answer has.
+    /// There are more tokens than expected.
     Repeated,
-    /// A token does not follow the one before it.
+    /// A token is not the successor of the one before it.
     Mixed,
-    /// The answer never became whole.
+    /// The answer was not complete at the time limit.
     Lost,
 }
 
-/// Reads a connection that its caller no longer waits for; returns whether what it gives continues
-/// `text` without a flaw.
+/// Reads a connection that a newer request of the same caller supersedes; returns whether `text`
+/// with its further tokens is still a valid sequence.
 async fn read_old(mut events: EventStream, prompt: String, mut text: String) -> bool {
     let read = async {
         while let Some(event) = events.next().await {
@@ -334,12 +341,12 @@
             }
         }
     };
-    // A connection that stays open without giving anything is no flaw of the answer.
+    // A connection that stays open without sending anything does not make the answer wrong.
     let _ = timeout(OLD_LIMIT, read).await;
     sequence::check(&prompt, &text).is_ok()
 }
 
-/// Takes in one event; returns whether the connection has no more to give.
+/// Applies one event to the transcript; returns whether it ends the stream.
 fn apply_event(event: &Sse, position: &mut Position, transcript: &mut Transcript) -> bool {
     let data = event.data.as_deref().unwrap_or_default();
     match event.event.as_deref() {
--- a/crates/gooseberry-bench/src/harness/child.rs
+++ b/crates/gooseberry-bench/src/harness/child.rs
@@ -1,4 +1,4 @@
-//! One process of an experiment; it ends with its value.
+//! A child process of an experiment, killed when its handle is dropped.
 
 use std::path::Path;
 use std::process::Stdio;
@@ -9,7 +9,7 @@
 
 use super::BenchError;
 
-/// A process that this bench started.
+/// A process started by the bench; dropping the handle kills it.
 #[derive(Debug)]
 pub(crate) struct Child {
     program: String,
@@ -17,7 +17,8 @@
 }
 
 impl Child {
-    /// Starts `program` of `folder` with settings from `file`; its log goes to a file beside it.
+    /// Starts `program` from `folder` with the settings in `file`. Its output is appended to a file
+    /// of the same name with the extension `log`.
     pub(crate) fn start(
         folder: &Path,
         program: &str,
@@ -50,43 +51,43 @@
         })
     }
 
-    /// Ends the process at once.
+    /// Sends SIGKILL.
     pub(crate) fn kill(&mut self) {
         self.signal(Signal::KILL);
     }
 
-    /// Freezes the process.
+    /// Suspends the process with SIGSTOP.
     pub(crate) fn freeze(&mut self) {
         self.signal(Signal::STOP);
     }
 
-    /// Lets a frozen process go on.
+    /// Resumes a suspended process with SIGCONT.
     pub(crate) fn thaw(&mut self) {
         self.signal(Signal::CONT);
     }
 
-    /// The id of the process; 0 once it has been waited for.
+    /// The process id; 0 once the exit status has been collected.
     pub(crate) fn id(&self) -> u32 {
         self.process.id().unwrap_or(0)
     }
 
-    /// Asks the process to stop in order.
+    /// Requests a graceful stop with SIGTERM.
     pub(crate) fn terminate(&mut self) {
         self.signal(Signal::TERM);
     }
 
-    /// Asks the process to read its settings again.
+    /// Requests a reload of the settings with SIGHUP.
     pub(crate) fn reload(&mut self) {
         self.signal(Signal::HUP);
     }
 
-    /// Whether the process has ended.
+    /// Whether the process has exited.
     pub(crate) fn has_ended(&mut self) -> bool {
-        // An error means that the process is no longer there to be waited for.
+        // An error means that there is no such child process any more.
         !matches!(self.process.try_wait(), Ok(None))
     }
 
-    /// Waits for the process to end and returns whether it ended with success.
+    /// Waits for the process to exit and returns whether its exit status is 0.
     pub(crate) async fn wait(&mut self) -> bool {
         let status = self.process.wait().await;
         status.is_ok_and(|s| s.success())
@@ -94,17 +95,17 @@
 
     fn signal(&mut self, signal: Signal) {
         let id = self.process.id().and_then(|id| i32::try_from(id).ok());
-        // Without an id the process has ended and been waited for.
+        // Without an id the exit status has been collected: no process is left to signal.
         let Some(pid) = id.and_then(Pid::from_raw) else {
             return;
         };
         if let Err(e) = kill_process(pid, signal) {
-            eprintln!("{}: signal not sent: {e}", self.program);
+            eprintln!("{}: cannot send {signal:?}: {e}", self.program);
         }
     }
 }
 
-/// Writes settings as JSON into `file`.
+/// Writes settings to `file` as JSON.
 pub(crate) fn write_settings<T: Serialize>(file: &Path, settings: &T) -> Result<(), BenchError> {
     let text = serde_json::to_string_pretty(settings).unwrap_or_default();
     std::fs::write(file, text).map_err(|cause| BenchError::File {
--- a/crates/gooseberry-bench/src/harness/fit.rs
+++ b/crates/gooseberry-bench/src/harness/fit.rs
@@ -1,21 +1,21 @@
-//! A straight line through measurements.
+//! Least-squares fit of a straight line.
 
 use serde::Serialize;
 
-/// Measurements and the line of least squares through them.
+/// Measurements and the least-squares line through them.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct Fit {
-    /// What was measured at each size.
+    /// Pairs of a size and the value measured at it.
     pub(crate) points: Vec<(f64, f64)>,
-    /// The growth for each unit of size.
+    /// Increase of the value per unit of size.
     pub(crate) slope: f64,
-    /// The value at size 0.
+    /// Intercept: the value at size 0.
     pub(crate) base: f64,
-    /// The part of the variance that the line explains.
+    /// Coefficient of determination, 0 to 1; 0 if all sizes or all values are equal.
     pub(crate) r2: f64,
 }
 
-/// The line of least squares through `points`.
+/// Fits a line through `points`, which must not be empty.
 pub(crate) fn fit(points: Vec<(f64, f64)>) -> Fit {
     let count = points.len() as f64;
     let mean = |of: fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>() / count;
--- a/crates/gooseberry-bench/src/harness/fleet.rs
+++ b/crates/gooseberry-bench/src/harness/fleet.rs
@@ -1,4 +1,4 @@
-//! A deployment of real processes on loopback addresses.
+//! Starts and restarts the processes of a deployment on loopback addresses.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -25,20 +25,20 @@
 use super::child::{Child, write_settings};
 use super::relay::Relays;
 
-/// The longest wait for a process to become ready; it bounds the start of a run, not what is measured.
-/// Start-up took more than 10 s beside four busy processes a core.
+/// The longest wait for a process to become ready. Measurements start after it. With four busy
+/// processes per core, start-up took more than 10 s.
 const READY_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The time between looks at whether a process is ready.
+/// The interval of readiness polls.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The time limit of a call of the bench to a process.
+/// Time limit of each HTTP call from the bench to a process.
 pub(crate) const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The operators' key.
+/// Key of the operator interface of routers and agents; their settings hold its digest.
 pub(crate) const OPERATOR_KEY: &str = "operator-key";
 
-/// The ports of the processes; each host has an address of its own.
+/// Ports of the processes; processes of the same kind differ in their loopback address.
 const CALLERS_PORT: u16 = 7001;
 const ROUTER_PEERS_PORT: u16 = 7002;
 const ROUTER_ADMIN_PORT: u16 = 7003;
@@ -48,94 +48,95 @@
 const PLAIN_PORT: u16 = 7011;
 const PLATFORM_PORT: u16 = 7020;
 
-/// The distance between the ports of the relays to one address.
+/// Offset between the ports of the relays from successive data centres to one address.
 const RELAY_PORT_STEP: u16 = 100;
 
-/// What a deployment consists of.
+/// Composition and settings of a deployment.
 #[derive(Clone, Debug)]
 pub(crate) struct Plan {
-    /// The data centre of each entry host.
+    /// Data centre of each entry host.
     pub(crate) hosts: Vec<DataCentre>,
-    /// The data centre of each engine.
+    /// Data centre of each engine.
     pub(crate) engines: Vec<DataCentre>,
-    /// The service that the engines form.
+    /// Service of all engines.
     pub(crate) service: ServiceName,
-    /// What the engines are like.
+    /// Settings of the engines; address and seed are set for each.
     pub(crate) engine: engine::Settings,
-    /// What the platform is like.
+    /// Settings of the platform stand-in; address and host list are set at the start.
     pub(crate) platform: standin::Settings,
-    /// The configuration.
+    /// Configuration that the platform holds as version 1 at the start.
     pub(crate) document: Document,
-    /// The plain service beside the engines.
+    /// Plain service beside the engines.
     pub(crate) plain: PlainPlan,
 }
 
 /// The plain service of a deployment; by default it has no servers.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PlainPlan {
-    /// The data centre of each server.
+    /// Data centre of each server.
     pub(crate) servers: Vec<DataCentre>,
-    /// The service that they form.
+    /// Service of all these servers.
     pub(crate) service: ServiceName,
-    /// What they are like.
+    /// Settings of the servers; address and record file are set for each.
     pub(crate) settings: service::Settings,
-    /// How routers share the table's writes.
+    /// How routers batch their claims into writes of the platform's table.
     pub(crate) claims: Claims,
-    /// Where routers send metrics, if anywhere.
+    /// Address to which routers send statsd metrics; `None` sends none.
     pub(crate) statsd: Option<SocketAddr>,
 }
 
 /// A server of the plain service.
 #[derive(Debug)]
 pub(crate) struct PlainServer {
-    /// Its address.
+    /// Address of its HTTP server.
     pub(crate) addr: SocketAddr,
-    /// Its process.
+    /// Its current process.
     pub(crate) process: Child,
-    /// The keys of its calls, one a line, also of its earlier lives.
+    /// File with the key of each call that it ran, one per line, kept across restarts.
     pub(crate) run_record: PathBuf,
     file: PathBuf,
 }
 
-/// An entry host.
+/// A router and an agent on one host.
 #[derive(Debug)]
 pub(crate) struct EntryHost {
-    /// Where callers come in.
+    /// Address on which the router accepts callers.
     pub(crate) callers: SocketAddr,
-    /// Where operators ask its router.
+    /// Operator interface of the router.
     pub(crate) admin: SocketAddr,
-    /// The router.
+    /// Current router process.
     pub(crate) router: Child,
-    /// The agent.
+    /// Current agent process.
     pub(crate) agent: Child,
-    /// Where operators ask its agent.
+    /// Operator interface of the agent.
     pub(crate) agent_admin: SocketAddr,
     router_file: PathBuf,
     agent_file: PathBuf,
 }
 
-/// An engine.
+/// An engine stand-in.
 #[derive(Debug)]
 pub(crate) struct Engine {
-    /// Its name.
+    /// Host name in the platform's list.
     pub(crate) name: String,
-    /// Its address.
+    /// Address of its HTTP server, not of a relay.
     pub(crate) addr: SocketAddr,
-    /// Its process.
+    /// Its current process.
     pub(crate) process: Child,
     file: PathBuf,
 }
 
-/// A running deployment; everything ends with it.
+/// A running deployment; dropping it kills its processes and removes the run's folder.
 #[derive(Debug)]
 pub(crate) struct Fleet {
     programs: PathBuf,
     folder: PathBuf,
-    /// The platform.
+    /// Platform process; with relays, the one of the first data centre.
     pub(crate) platform: Child,
-    /// The platform's address.
+    /// Address of that platform.
     pub(crate) platform_addr: SocketAddr,
-    /// With relays, the platforms that show each further data centre its own addresses.
+    /// With relays, one platform for each further data centre: their host lists differ in the relay
+    /// addresses.
     extra_platforms: Vec<Child>,
     /// The entry hosts.
     pub(crate) hosts: Vec<EntryHost>,
@@ -147,18 +148,19 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        // What is left behind in the temporary folder harms nobody.
+        // Files left in the temporary folder do no harm.
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
 impl Fleet {
-    /// Starts all processes and waits until every router takes requests.
+    /// Starts all processes and waits until every router is ready and reports every backend alive.
     pub(crate) async fn start(programs: &Path, plan: &Plan) -> Result<Self, BenchError> {
         Self::start_relayed(programs, plan, None).await
     }
 
-    /// As [`Self::start`], with connections between the processes going through `relays`.
+    /// As [`Self::start`], with connections to router peer ports and engines going through
+    /// `relays`.
     pub(crate) async fn start_relayed(
         programs: &Path,
         plan: &Plan,
@@ -209,21 +211,22 @@
         Ok(fleet)
     }
 
-    /// Starts a router again at its old addresses.
+    /// Starts a new router process with the settings of the old one, which must have exited.
     pub(crate) fn restart_router(&mut self, i: usize) -> Result<(), BenchError> {
         let file = self.hosts[i].router_file.clone();
         self.hosts[i].router = Child::start(&self.programs, "gooseberry-router", &[], &file)?;
         Ok(())
     }
 
-    /// Starts agent and router of a host again at their old addresses.
+    /// Starts new agent and router processes with the settings of the old ones, which must have
+    /// exited.
     pub(crate) fn restart_host(&mut self, i: usize) -> Result<(), BenchError> {
         let file = self.hosts[i].agent_file.clone();
         self.hosts[i].agent = Child::start(&self.programs, "gooseberry-agent", &[], &file)?;
         self.restart_router(i)
     }
 
-    /// Puts an engine into the platform's host list as leaving or not.
+    /// Writes an engine's row of the platform's host list, with the given `leaving` mark.
     pub(crate) async fn list_engine(
         &self,
         plan: &Plan,
@@ -243,7 +246,7 @@
         Ok(())
     }
 
-    /// Waits until every router takes requests and sees every engine alive.
+    /// Waits until every router is ready and reports every backend alive.
     pub(crate) async fn wait_until_serving(&self) -> Result<(), BenchError> {
         for host in &self.hosts {
             wait_until_ready(host.admin, &host.callers.to_string()).await?;
@@ -252,7 +255,8 @@
             .await
     }
 
-    /// Ends all processes and waits for them, so that their addresses are free again.
+    /// Kills all entry hosts, engines and the platform and waits for their exit, which frees their
+    /// addresses.
     pub(crate) async fn stop(mut self) {
         let hosts = self
             .hosts
@@ -262,12 +266,12 @@
         let platform = std::iter::once(&mut self.platform);
         for child in hosts.chain(engines).chain(platform) {
             child.kill();
-            // A killed process never ends with success.
+            // The exit status of a killed process says nothing.
             let _ = child.wait().await;
         }
     }
 
-    /// Starts an engine again at its old address.
+    /// Starts a new engine process with the settings of the old one, which must have exited.
     pub(crate) fn restart_engine(&mut self, i: usize) -> Result<(), BenchError> {
         let file = self.engines[i].file.clone();
         self.engines[i].process =
@@ -275,7 +279,8 @@
         Ok(())
     }
 
-    /// Starts a server of the plain service again at its old address.
+    /// Starts a new process of a plain server with the settings of the old one, which must have
+    /// exited.
     pub(crate) fn restart_plain(&mut self, i: usize) -> Result<(), BenchError> {
         let file = self.plain[i].file.clone();
         self.plain[i].process =
@@ -283,17 +288,17 @@
         Ok(())
     }
 
-    /// The state dump of a router.
+    /// Fetches the state dump of a router.
     pub(crate) async fn state(&self, host: usize) -> Result<Value, BenchError> {
         Ok(web::client::get(self.hosts[host].admin, "/v1/state", CALL_TIMEOUT).await?)
     }
 
-    /// What an engine has done.
+    /// Fetches the counters of an engine, which cover the time since its process started.
     pub(crate) async fn engine_stats(&self, i: usize) -> Result<engine::Stats, BenchError> {
         Ok(web::client::get(self.engines[i].addr, "/stats", CALL_TIMEOUT).await?)
     }
 
-    /// Switches a fault of a stand-in.
+    /// Sets the fault switches of a stand-in.
     pub(crate) async fn switch(
         &self,
         addr: SocketAddr,
@@ -364,12 +369,12 @@
         Ok(())
     }
 
-    /// Waits until every router sees this many live backend servers.
+    /// Waits until every router reports at least `count` backends as alive.
     async fn wait_for_backends(&self, count: usize) -> Result<(), BenchError> {
         let deadline = Instant::now() + READY_TIMEOUT;
         for i in 0..self.hosts.len() {
             loop {
-                // A host that is still starting may be late with its answer.
+                // While a router starts, its dump may fail; an error counts only at the deadline.
                 let state = self.state(i).await;
                 let backends = state.as_ref().ok().and_then(|s| s["backends"].as_array());
                 let is_alive = |b: &&Value| b["seen"]["alive"] == true;
@@ -388,7 +393,7 @@
     }
 }
 
-/// Puts the first configuration into a platform's table.
+/// Commits `document` to a platform's table as version 1, retrying until the platform is up.
 async fn put_document(addr: SocketAddr, document: &Document) -> Result<(), BenchError> {
     let platform = Platform {
         addr,
@@ -410,7 +415,7 @@
     }
 }
 
-/// The log of a run's own processes.
+/// Log settings of the routers and agents.
 fn log_settings() -> Log {
     Log::default()
 }
@@ -456,7 +461,8 @@
     }
 }
 
-/// The platform's list of all hosts, as one data centre sees them through relays.
+/// The platform's host list. With relays, `view` holds them and the index of the data centre whose
+/// relay addresses the list gives.
 fn host_list(plan: &Plan, view: Option<(&Relays, usize)>) -> Vec<Host> {
     let dial_address = |addr| view.map_or(addr, |(_, centre)| relay_address(centre, addr));
     let entries = plan.hosts.iter().enumerate().map(|(i, data_centre)| Host {
@@ -494,7 +500,7 @@
     entries.chain(engines).chain(plain).collect()
 }
 
-/// The addresses behind relays, each with the data centre in which it is.
+/// Addresses that are reached through relays, with the data centre of each.
 pub(crate) fn relay_targets(plan: &Plan) -> Vec<(SocketAddr, DataCentre)> {
     let hosts = plan.hosts.iter().enumerate();
     let hosts = hosts.map(|(i, d)| (host_address(i, ROUTER_PEERS_PORT), d.clone()));
@@ -503,7 +509,7 @@
     hosts.chain(engines).collect()
 }
 
-/// Where the processes of a data centre find `target`.
+/// Address of the relay from a data centre to `target`.
 pub(crate) fn relay_address(centre: usize, target: SocketAddr) -> SocketAddr {
     let shift = u16::try_from(centre + 1).unwrap_or(u16::MAX);
     SocketAddr::new(target.ip(), target.port() + RELAY_PORT_STEP * shift)
@@ -537,7 +543,8 @@
     address(2, i, PLAIN_PORT)
 }
 
-/// A loopback address of this run; runs at the same time have addresses of their own.
+/// A loopback address derived from the process id, so that concurrent runs do not share addresses
+/// unless their ids differ by a multiple of 20,000.
 fn address(group: u8, i: usize, port: u16) -> SocketAddr {
     let run = std::process::id() % 250 + 1;
     let octet = |n: usize| u8::try_from(n).unwrap_or(u8::MAX);
@@ -546,7 +553,7 @@
     SocketAddr::from(([127, octet(run as usize), group, number], port))
 }
 
-/// A new folder for settings and logs.
+/// Creates the folder for the settings and logs of this run.
 fn create_run_folder() -> Result<PathBuf, BenchError> {
     let name = format!("gooseberry-bench-{}", std::process::id());
     let folder = std::env::temp_dir().join(name);
@@ -557,7 +564,7 @@
     Ok(folder)
 }
 
-/// Waits until a process says that it is ready.
+/// Polls the readiness of a process; `name` names it in the error.
 async fn wait_until_ready(admin: SocketAddr, name: &str) -> Result<(), BenchError> {
     let deadline = Instant::now() + READY_TIMEOUT;
     while Instant::now() < deadline {
--- a/crates/gooseberry-bench/src/harness/relay.rs
+++ b/crates/gooseberry-bench/src/harness/relay.rs
@@ -1,7 +1,8 @@
-//! Relays between the processes of a deployment, which can go silent or part data centres.
+//! TCP relays between the processes of a deployment that can stall connections and partition data
+//! centres.
 //!
-//! Each data centre reaches each address through a relay of its own, so that a relay knows both
-//! ends of its connections.
+//! Each data centre reaches each address through a relay of its own. A relay therefore knows the
+//! data centres at both ends of its connections.
 
 use std::net::SocketAddr;
 
@@ -15,30 +16,30 @@
 use super::BenchError;
 use super::fleet::{Plan, relay_address, relay_targets};
 
-/// The bytes read at once.
+/// Size of the buffer of each direction of a connection, in bytes.
 const BUFFER_BYTES: usize = 16 * 1024;
 
-/// What a relay lets through.
+/// Which connections of a relay forward data.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Gate {
-    /// Connections opened while this number was lower pass nothing more.
+    /// Raised by each stall; connections opened at a lower value forward nothing more.
     stall_epoch: u64,
-    /// Whether nothing passes.
+    /// Whether no connection forwards data.
     is_partitioned: bool,
 }
 
-/// One relay.
+/// The relay from one data centre to one address.
 #[derive(Debug)]
 struct Relay {
-    /// The number of the data centre whose processes use it.
+    /// Index of the data centre whose processes connect to it.
     from: usize,
-    /// The number of the data centre to which it leads.
+    /// Index of the data centre of the target.
     to: usize,
     target: SocketAddr,
     gate: watch::Sender<Gate>,
 }
 
-/// All relays of a deployment; they end with it.
+/// All relays of a deployment; dropping them closes their connections.
 #[derive(Debug)]
 pub(crate) struct Relays {
     centres: Vec<DataCentre>,
@@ -47,7 +48,7 @@
 }
 
 impl Relays {
-    /// Listens for the processes of all data centres of `plan`.
+    /// Starts the relays of all data centres of `plan`.
     pub(crate) async fn start(plan: &Plan) -> Result<Self, BenchError> {
         let mut centres = plan.hosts.clone();
         centres.extend(plan.engines.iter().cloned());
@@ -67,24 +68,25 @@
         Ok(all)
     }
 
-    /// How many data centres there are.
+    /// Number of data centres with entry hosts or engines.
     pub(crate) fn centre_count(&self) -> usize {
         self.centres.len()
     }
 
-    /// The number of a data centre.
+    /// Index of a data centre; 0 if it has neither entry hosts nor engines.
     pub(crate) fn centre_index(&self, name: &DataCentre) -> usize {
         self.centres.binary_search(name).unwrap_or(0)
     }
 
-    /// Lets nothing more through on the connections to `target` that are open now.
+    /// Stalls the connections to `target` that are open now: they stay open and forward nothing
+    /// more.
     pub(crate) fn stall(&self, target: SocketAddr) {
         for relay in self.relays.iter().filter(|r| r.target == target) {
             relay.gate.send_modify(|g| g.stall_epoch += 1);
         }
     }
 
-    /// Parts a data centre from all others, or joins it to them again.
+    /// Partitions a data centre from all others, or ends the partition.
     pub(crate) fn set_partitioned(&self, centre: usize, is_partitioned: bool) {
         let crosses = |r: &&Relay| (r.from == centre) != (r.to == centre);
         for relay in self.relays.iter().filter(crosses) {
@@ -115,7 +117,7 @@
     }
 }
 
-/// Takes connections for ever; they end with this task.
+/// Accepts connections until the task is aborted, which also closes them.
 async fn accept(listener: TcpListener, target: SocketAddr, gate: watch::Sender<Gate>) {
     let mut open = JoinSet::new();
     loop {
@@ -127,17 +129,18 @@
     }
 }
 
-/// Passes on what both ends of one connection send, until one of them closes it.
+/// Forwards both directions of one connection until either end closes it.
 async fn relay(near: TcpStream, target: SocketAddr, mut gate: watch::Receiver<Gate>) {
     let opened_epoch = gate.borrow().stall_epoch;
     if gate.wait_for(|g| !g.is_partitioned).await.is_err() {
         return;
     }
-    // A target that doesn't listen shows as a connection closed at once.
+    // If the target does not listen, the near connection closes at once.
     let Ok(far) = TcpStream::connect(target).await else {
         return;
     };
-    // Small frames must not wait for acknowledgements here any more than without a relay.
+    // Without TCP_NODELAY, small frames would wait for acknowledgements, which they don't without a
+    // relay.
     let _ = near.set_nodelay(true);
     let _ = far.set_nodelay(true);
     let (near_read, near_write) = near.into_split();
@@ -148,7 +151,7 @@
     }
 }
 
-/// Passes on what one end sends.
+/// Forwards one direction of a connection; while the gate is closed, data that was read waits.
 async fn pump(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
--- a/crates/gooseberry-bench/src/harness/report.rs
+++ b/crates/gooseberry-bench/src/harness/report.rs
@@ -1,30 +1,30 @@
-//! What experiments measure and how they say it.
+//! Percentiles of durations, as the reports print them.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// The significant digits that a histogram keeps.
+/// Significant decimal digits that the histogram keeps.
 const DIGITS: u8 = 3;
 
-/// The largest time that a histogram holds, in microseconds.
+/// The largest duration that the histogram holds, in microseconds; longer ones count as this.
 const MAX_US: u64 = 600_000_000;
 
-/// Times, in milliseconds.
+/// Percentiles of a set of durations, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub(crate) struct Times {
-    /// How many were measured.
+    /// Number of durations.
     pub(crate) count: u64,
     /// The median.
     pub(crate) p50: f64,
-    /// 95 in 100 are at most this.
+    /// The 95th percentile.
     pub(crate) p95: f64,
-    /// 99 in 100 are at most this.
+    /// The 99th percentile.
     pub(crate) p99: f64,
-    /// The largest.
+    /// The maximum.
     pub(crate) max: f64,
 }
 
-/// Summarises durations.
+/// Computes the percentiles of `durations`; all zero if there are none.
 pub(crate) fn times(durations: impl IntoIterator<Item = std::time::Duration>) -> Times {
     let Ok(mut histogram) = Histogram::<u64>::new_with_max(MAX_US, DIGITS) else {
         return Times::default();
--- a/crates/gooseberry-bench/src/harness/usage.rs
+++ b/crates/gooseberry-bench/src/harness/usage.rs
@@ -1,12 +1,12 @@
-//! What a process has used, as the kernel counts it.
+//! CPU time and memory of a process, read from `/proc`.
 
 use std::fs;
 use std::time::Duration;
 
-/// The bytes in a unit of the memory figures of the kernel.
+/// Bytes per kB of `/proc/PID/status`.
 const KIB: u64 = 1_024;
 
-/// The processor time of all threads of a process.
+/// CPU time of all live threads of a process; zero if it has exited.
 pub(crate) fn cpu(pid: u32) -> Duration {
     let Ok(tasks) = fs::read_dir(format!("/proc/{pid}/task")) else {
         return Duration::ZERO;
@@ -19,7 +19,7 @@
     Duration::from_nanos(nanos)
 }
 
-/// The memory that a process has in use, in bytes.
+/// Resident memory of a process, in bytes; 0 if it has exited.
 pub(crate) fn memory(pid: u32) -> u64 {
     let text = fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let line = text.lines().find_map(|l| l.strip_prefix("VmRSS:"));
--- a/crates/gooseberry-bench/src/soak.rs
+++ b/crates/gooseberry-bench/src/soak.rs
@@ -1,9 +1,11 @@
-//! `soak`: gateways on the users' platform under random faults from outside.
+//! `soak`: runs gateways on stand-ins of their platform under random faults.
 //!
-//! Real processes: a store, backend servers and gateways. Connections between them, and those of
-//! callers, pass through proxies that delay, reset, cut and silence them; processes are paused, killed,
-//! stopped and started by signals. What callers and backend servers see is checked while it runs and at
-//! the end. The same seed draws the same faults; their timing on the machine differs.
+//! Starts real processes: a store, backend servers and gateways. The connections of gateways to
+//! callers, backend servers and the store pass through proxies that delay, reset, block and stall
+//! them. Processes are suspended, killed, stopped and restarted. At the end of each seed, every
+//! gateway must serve each kind of request again, and the answers that callers received are checked
+//! against the requests that the backend servers recorded. The same seed draws the same faults, but
+//! their timing varies between runs.
 
 mod callers;
 mod faults;
@@ -23,47 +25,47 @@
 use judge::Finding;
 use site::{Shape, Site};
 
-/// The time without faults before the end, after which everything must be served again.
+/// The time without faults before the final requests, all of which must be served.
 const RECOVERY_TIME: Duration = Duration::from_secs(5);
 
-/// In one of so many seeds only planned work is done, under which nothing may be cut.
+/// One seed in this many draws only planned operations, during which no request may be interrupted.
 const PLANNED_EVERY: u64 = 4;
 
-/// Seeds that once had a finding, with its cause; `--regressions` runs them.
+/// Seeds that once had a finding, and its cause; `--regressions` runs them.
 const REGRESSIONS: [(u64, &str); 2] = [
     (
         136,
-        "a stopping host passed a request on after it had decided to end",
+        "a stopping host forwarded a request after it had decided to exit",
     ),
-    (148, "the same"),
+    (148, "the same cause as seed 136"),
 ];
 
-/// How the soak runs.
+/// Options of `soak`.
 #[derive(Clone, Debug, Bpaf)]
 pub(crate) struct Options {
     /// The first seed.
     #[bpaf(long, argument("N"), fallback(1))]
     seed: u64,
-    /// How many seeds are run, one after the other.
+    /// The number of successive seeds to run, one after the other.
     #[bpaf(long, argument("N"), fallback(1))]
     seeds: u64,
-    /// How long faults come in each, in seconds.
+    /// How long faults are injected for each seed, in seconds.
     #[bpaf(long, argument("N"), fallback(12))]
     seconds: u64,
-    /// The gateways.
+    /// The number of gateways.
     #[bpaf(long, argument("N"), fallback(3))]
     gateways: usize,
-    /// The engines; there are a third as many plain servers, two at least.
+    /// The number of engines; there are a third as many plain servers, at least two.
     #[bpaf(long, argument("N"), fallback(6))]
     engines: usize,
-    /// The callers.
+    /// The number of concurrent callers.
     #[bpaf(long, argument("N"), fallback(24))]
     callers: usize,
-    /// Run the seeds that once had a finding instead.
+    /// Run the seeds that once had a finding, instead of those from `--seed`.
     regressions: bool,
 }
 
-/// Runs the seeds; whether none has a finding.
+/// Runs the seeds; returns whether none has a finding.
 pub(crate) async fn run(options: Options) -> Result<bool, BenchError> {
     let programs = build::programs().await?;
     let mut failed = Vec::new();
@@ -80,16 +82,16 @@
         }
         if !findings.is_empty() {
             if let Some((_, cause)) = REGRESSIONS.iter().find(|(s, _)| *s == seed) {
-                println!("seed {seed} failed before: {cause}");
+                println!("seed {seed} had a finding before: {cause}");
             }
             failed.push(seed);
         }
     }
-    println!("{} seeds, with findings: {failed:?}", seeds.len());
+    println!("{} seeds run, seeds with findings: {failed:?}", seeds.len());
     Ok(failed.is_empty())
 }
 
-/// Runs one seed.
+/// Runs one seed and returns its findings.
 async fn run_seed(
     programs: &std::path::Path,
     options: &Options,
--- a/crates/gooseberry-bench/src/soak/callers.rs
+++ b/crates/gooseberry-bench/src/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that ask without a pause and keep their connections until those end.
+//! Callers that send one request after another and reuse their connections.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -15,43 +15,43 @@
 
 use crate::soak::site::Site;
 
-/// How long a caller waits for an answer, in milliseconds.
+/// Deadline of a request, in milliseconds; the caller itself waits 1,000 ms longer.
 const ANSWER_TIMEOUT_MS: u64 = 6_000;
 
-/// How long a caller waits for a connection.
+/// Time limit for opening a connection to a gateway.
 const CONNECT_TIMEOUT: Millis = Millis(1_000);
 
-/// The pause of a caller between two requests.
+/// Pause of a caller between an answer and its next request.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(40);
 
-/// What is asked for.
+/// Kind of a request; its name is the first part of the path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, EnumCount, FromRepr, IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub(crate) enum Kind {
     /// An idempotent call.
     Safe,
-    /// A call that runs once at most.
+    /// A non-idempotent call, which may run at most once.
     Once,
-    /// A stream.
+    /// A resumable stream of events.
     Draft,
 }
 
-/// A request and what became of it.
+/// A request and its outcome.
 #[derive(Debug)]
 pub(crate) struct Record {
-    /// The id.
+    /// Request id, also recorded by the backend server that runs it.
     pub(crate) id: String,
-    /// What was asked for.
+    /// Kind of the request.
     pub(crate) kind: Kind,
-    /// The last event that the caller had.
+    /// Number of the event after which the stream is to resume; 0 for a new stream or a call.
     pub(crate) last_event: u64,
-    /// The answer, or why there was none.
+    /// The answer, possibly incomplete, or the reason why there is none.
     pub(crate) answer: Result<Answer, String>,
-    /// Whether the caller was ended while it waited.
+    /// Whether the soak ended before the answer arrived.
     pub(crate) is_aborted: bool,
 }
 
-/// Callers at work.
+/// Running callers.
 #[derive(Debug)]
 pub(crate) struct Callers {
     records: Arc<Mutex<Vec<Record>>>,
@@ -60,7 +60,7 @@
 }
 
 impl Callers {
-    /// Starts `count` callers, which turn to all gateways.
+    /// Starts `count` callers, each of which picks a random gateway for every request.
     pub(crate) fn start(site: &Site, count: usize, seed: u64) -> Self {
         let addrs: Vec<SocketAddr> = site.gateways.iter().map(|g| g.caller_proxy.addr).collect();
         let mut callers = Self {
@@ -81,7 +81,7 @@
         callers
     }
 
-    /// Ends all callers and returns what they saw.
+    /// Stops all callers, aborting the requests in flight, and returns the records of all requests.
     pub(crate) async fn stop(mut self) -> Vec<Record> {
         self.stop.cancel();
         while self.tasks.join_next().await.is_some() {}
@@ -90,7 +90,7 @@
     }
 }
 
-/// Asks one request after the other until `stop` is cancelled.
+/// Sends one request after another until `stop` is cancelled.
 async fn run_caller(
     addrs: Vec<SocketAddr>,
     name: String,
@@ -111,7 +111,8 @@
             id,
             kind,
             last_event: if kind == Kind::Draft { last_event } else { 0 },
-            answer: finished.unwrap_or_else(|| Err("the soak ended".to_owned())),
+            answer: finished
+                .unwrap_or_else(|| Err("the soak ended before the answer arrived".to_owned())),
             is_aborted,
         };
         records
@@ -125,7 +126,8 @@
     }
 }
 
-/// Asks one request over the connection that is kept, or a new one.
+/// Sends one request over the connection in `link`, or a new one if it is closed. Keeps the
+/// connection in `link` if the answer is complete and allows reuse.
 pub(crate) async fn send_request(
     link: &mut Option<Link>,
     addr: SocketAddr,
@@ -137,7 +139,7 @@
         Some(open) => open,
         None => Link::open(addr, CONNECT_TIMEOUT)
             .await
-            .map_err(|e| format!("no connection: {e}"))?,
+            .map_err(|e| format!("cannot connect to {addr}: {e}"))?,
     };
     let name: &'static str = kind.into();
     let path = format!("/{name}/a");
@@ -151,13 +153,16 @@
     let work = async {
         match open.send(request).await {
             Ok(response) => Ok(caller::read(response).await),
-            Err(error) => Err(format!("{error:?}, used before: {}", open.is_used)),
+            Err(error) => Err(format!(
+                "no answer: {error:?} (connection used before: {})",
+                open.is_used
+            )),
         }
     };
     let limit = Duration::from_millis(ANSWER_TIMEOUT_MS + 1_000);
     let answer = tokio::time::timeout(limit, work)
         .await
-        .map_err(|_| "no answer in time".to_owned())??;
+        .map_err(|_| "no answer within the time limit".to_owned())??;
     if answer.is_whole && answer.header("connection") != "close" {
         *link = Some(open);
     }
--- a/crates/gooseberry-bench/src/soak/faults.rs
+++ b/crates/gooseberry-bench/src/soak/faults.rs
@@ -1,4 +1,5 @@
-//! What may go wrong, drawn at random; faults come in series and overlap.
+//! Random faults of the soak. They are injected one after another, and most last until a later one
+//! ends them, so that they overlap.
 
 use std::time::Duration;
 
@@ -12,58 +13,58 @@
 use crate::soak::proxy::{Mode, Proxy};
 use crate::soak::site::{Shape, Site};
 
-/// What goes wrong.
+/// Kind of a fault or planned operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, EnumCount, FromRepr)]
 pub(crate) enum Kind {
-    /// A backend server is killed.
+    /// Kills a backend server.
     KillServer,
-    /// All backend servers of a data centre are killed.
+    /// Kills all backend servers of a data centre.
     KillCentre,
-    /// A killed backend server starts anew under another id.
+    /// Kills a backend server and starts it under a new id.
     RenewServer,
-    /// A backend server stands still and wakes again.
+    /// Suspends a backend server for a while.
     PauseServer,
-    /// A backend server is listed as leaving.
+    /// Lists a backend server as draining.
     DrainServer,
-    /// The row of a backend server goes although it lives.
+    /// Deletes the row of a backend server that runs on, as when its registration expires.
     LapseServer,
-    /// Connections to a backend server are disturbed.
+    /// Disturbs the connections to a backend server.
     DisturbServer,
-    /// A gateway is killed and started again.
+    /// Kills a gateway, which is then restarted.
     KillGateway,
-    /// A gateway stands still and wakes again.
+    /// Suspends a gateway for a while.
     PauseGateway,
-    /// A gateway is told to stop, and started again once it has ended.
+    /// Sends SIGTERM to a gateway, which is restarted once it has exited.
     StopGateway,
-    /// A gateway is told to read its settings again.
+    /// Sends SIGHUP to a gateway, upon which it reloads its settings.
     ReloadGateway,
-    /// Connections of callers to a gateway are disturbed.
+    /// Disturbs the connections of callers to a gateway.
     DisturbCallers,
-    /// Connections of a gateway to the store are disturbed.
+    /// Disturbs the connections of a gateway to the store.
     DisturbStore,
-    /// The store refuses every call for a while, or answers again.
+    /// Makes the store refuse every call, or ends that; which one is drawn.
     StoreOutage,
-    /// The store answers late, or in time again.
+    /// Delays the answers of the store, or ends that; which one is drawn.
     StoreSlow,
-    /// The store forgets its history.
+    /// Compacts the store: it drops its history of changes.
     StoreForgets,
-    /// A new version of the configuration.
+    /// Writes a new version of the configuration.
     Configure,
-    /// All disturbances of connections end.
+    /// Ends all disturbances of connections, except for stalled and reset ones.
     Heal,
 }
 
-/// A fault and whom it concerns.
+/// A fault with its target and duration.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Fault {
     kind: Kind,
-    /// The number of the gateway or backend server.
+    /// Index of the gateway or backend server.
     target: usize,
-    /// How long it lasts, where it lasts, in milliseconds.
+    /// Duration of a suspension, or delay of the store, in milliseconds; other kinds ignore it.
     span_ms: u64,
 }
 
-/// What operators do on an ordinary day.
+/// Routine operations, which must not interrupt any request.
 const PLANNED: [Kind; 4] = [
     Kind::StopGateway,
     Kind::ReloadGateway,
@@ -72,7 +73,7 @@
 ];
 
 impl Fault {
-    /// Draws a fault, or planned work only.
+    /// Draws a fault; with `is_planned`, only a routine operation.
     pub(crate) fn draw(rng: &mut SmallRng, shape: &Shape, is_planned: bool) -> Self {
         let kind = if is_planned {
             PLANNED[rng.random_range(0..PLANNED.len())]
@@ -97,7 +98,7 @@
 }
 
 impl Site {
-    /// Brings a fault about.
+    /// Injects a fault; for a suspension, returns after its end.
     pub(crate) async fn inject(
         &mut self,
         fault: &Fault,
@@ -183,7 +184,7 @@
     }
 }
 
-/// Disturbs the connections of a proxy in some way.
+/// Disturbs the connections of a proxy in a randomly drawn way.
 fn disturb(proxy: &Proxy, rng: &mut SmallRng) {
     let choice = rng.random_range(0..6);
     let delay = rng.random_range(5..400);
--- a/crates/gooseberry-bench/src/soak/judge.rs
+++ b/crates/gooseberry-bench/src/soak/judge.rs
@@ -1,4 +1,4 @@
-//! What callers and backend servers may not have seen.
+//! Checks of the answers that callers received against the requests that backend servers recorded.
 
 use gooseberry_standin::site::caller::{self, Answer};
 
@@ -7,38 +7,38 @@
 use crate::soak::callers::{Kind, Record, send_request};
 use crate::soak::site::{EVENTS, Site};
 
-/// The requests of each kind that every gateway must serve once all faults are over.
+/// Number of requests of each kind that every gateway must serve after all faults.
 const RECOVERY_REQUESTS: usize = 5;
 
-/// A broken promise.
+/// A violated guarantee.
 #[derive(Clone, Debug, Error)]
 pub(crate) enum Finding {
-    /// A request that runs once at most ran more often.
-    #[error("{id} ran {runs} times")]
+    /// A non-idempotent request ran more than once.
+    #[error("non-idempotent request {id} ran {runs} times")]
     DuplicateRun { id: String, runs: usize },
-    /// A request was refused as not run, and ran.
-    #[error("{id} was refused as not run, and ran")]
+    /// A non-idempotent request was refused with a status that means "not run", but ran.
+    #[error("request {id} was refused as not run, but a backend server ran it")]
     FalseRefusal { id: String },
-    /// A success that is not the answer to the request.
-    #[error("{id} was answered with {text:?}")]
+    /// A successful answer is not the one to this request.
+    #[error("request {id} got a wrong answer: {text:?}")]
     WrongAnswer { id: String, text: String },
-    /// Events that are missing, repeated or of another stream.
-    #[error("{id} was answered with the events {text:?}")]
+    /// Events are missing, repeated, or of another stream.
+    #[error("stream {id} got wrong events: {text:?}")]
     WrongEvents { id: String, text: String },
-    /// A proper request was denied.
-    #[error("{id} was denied with {status}")]
+    /// A valid request was rejected with a client error.
+    #[error("valid request {id} was rejected with status {status}")]
     Rejected { id: String, status: u16 },
-    /// A request that was passed on got no whole answer although nothing failed.
-    #[error("{id} was cut under planned work only: {cause}")]
+    /// A request that ran got no complete answer although only planned operations were done.
+    #[error("request {id} was interrupted during planned operations: {cause}")]
     Interrupted { id: String, cause: String },
-    /// A request was not served although all faults are over.
-    #[error("{id} was not served after the faults: {status:?}")]
+    /// A request was not served after the end of all faults; `status` is `None` without an answer.
+    #[error("request {id} was not served after the end of all faults; status {status:?}")]
     NotRecovered { id: String, status: Option<u16> },
 }
 
-/// The promises that `records` break.
+/// Finds the guarantees that `records` violate.
 ///
-/// Where only planned work was done, each request that was passed on must have its whole answer.
+/// If only planned operations were done, each request that ran must have a complete answer.
 pub(crate) fn judge(records: &[Record], site: &Site, is_planned: bool) -> Vec<Finding> {
     let runs = site.run_ids();
     let count = |id: &str| {
@@ -61,7 +61,7 @@
         }
         let cause = match &record.answer {
             Ok(answer) if answer.is_whole => None,
-            Ok(answer) => Some(format!("{} and half a body", answer.status)),
+            Ok(answer) => Some(format!("status {} with an incomplete body", answer.status)),
             Err(error) => Some(error.clone()),
         };
         if let Some(cause) = cause.filter(|_| is_planned && runs > 0 && !record.is_aborted) {
@@ -72,7 +72,7 @@
     findings
 }
 
-/// What is wrong with an answer by itself.
+/// Checks the status and content of an answer.
 fn judge_answer(record: &Record) -> Option<Finding> {
     let answer = record.answer.as_ref().ok()?;
     let id = record.id.clone();
@@ -93,7 +93,7 @@
     (!is_expected && answer.is_whole).then_some(Finding::WrongAnswer { id, text })
 }
 
-/// Asks each gateway for each kind of request; all must be served.
+/// Sends requests of each kind to each gateway; all must be served.
 pub(crate) async fn check_recovery(site: &Site, seed: u64) -> Vec<Finding> {
     let mut findings = Vec::new();
     for (i, gateway) in site.gateways.iter().enumerate() {
@@ -114,7 +114,7 @@
     findings
 }
 
-/// How many requests ended how.
+/// Counts the requests by outcome, for the output.
 pub(crate) fn summary(records: &[Record]) -> String {
     let answers: Vec<&Answer> = records
         .iter()
--- a/crates/gooseberry-bench/src/soak/proxy.rs
+++ b/crates/gooseberry-bench/src/soak/proxy.rs
@@ -1,4 +1,5 @@
-//! A proxy on a loopback address whose connections can be delayed, reset, cut one way and silenced.
+//! A TCP proxy on a loopback address that can delay, reset, stall or block its connections, also in
+//! one direction only.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,35 +12,35 @@
 
 use crate::harness::BenchError;
 
-/// The bytes read at once.
+/// Size of the buffer of each direction of a connection, in bytes.
 const BUFFER_BYTES: usize = 16 * 1024;
 
-/// What a proxy does to its connections.
+/// Disturbances that a proxy applies to its connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Mode {
-    /// How much later bytes arrive, in milliseconds.
+    /// Delay of each chunk of data in either direction, in milliseconds.
     pub(crate) delay_ms: u64,
-    /// Whether nothing passes to the target.
+    /// Whether data to the target is held back.
     pub(crate) blocks_requests: bool,
-    /// Whether nothing passes from the target.
+    /// Whether data from the target is held back.
     pub(crate) blocks_answers: bool,
-    /// Connections opened while this number was lower pass nothing more.
+    /// Raised by each stall; connections opened at a lower value forward nothing more.
     pub(crate) stall_epoch: u64,
-    /// Connections opened while this number was lower are reset.
+    /// Raised by each reset; connections opened at a lower value are closed.
     pub(crate) reset_epoch: u64,
 }
 
-/// A proxy; it ends when it is dropped.
+/// A running proxy; dropping it closes its connections.
 #[derive(Debug)]
 pub(crate) struct Proxy {
-    /// Where it listens.
+    /// Address on which it listens.
     pub(crate) addr: SocketAddr,
     mode: watch::Sender<Mode>,
     _tasks: JoinSet<()>,
 }
 
 impl Proxy {
-    /// Listens on `addr` and leads to `target`.
+    /// Listens on `addr` and forwards connections to `target`.
     pub(crate) async fn start(addr: SocketAddr, target: SocketAddr) -> Result<Self, BenchError> {
         let listener = TcpListener::bind(addr).await;
         let listener = listener.map_err(|cause| BenchError::Listen { addr, cause })?;
@@ -53,12 +54,12 @@
         })
     }
 
-    /// Changes what it does.
+    /// Changes the disturbances, also of open connections.
     pub(crate) fn change(&self, change: impl FnOnce(&mut Mode)) {
         self.mode.send_modify(change);
     }
 
-    /// Lets everything pass again; what was silenced or reset stays so.
+    /// Ends delays and blocks; connections that were stalled or reset stay so.
     pub(crate) fn heal(&self) {
         self.change(|m| {
             *m = Mode {
@@ -81,15 +82,15 @@
     }
 }
 
-/// Passes on what both ends of one connection send, until one closes it or it is reset.
+/// Forwards both directions of one connection until either end closes it or it is reset.
 async fn forward(near: TcpStream, target: SocketAddr, mode: watch::Receiver<Mode>) {
     let opened = *mode.borrow();
-    // A target that does not listen shows as a connection closed at once.
+    // If the target does not listen, the near connection closes at once.
     let Ok(far) = TcpStream::connect(target).await else {
         return;
     };
     for stream in [&near, &far] {
-        // Small pieces must not wait for acknowledgements; without the option they are only slower.
+        // Avoids that small chunks wait for acknowledgements. A failure only makes them slower.
         let _ = stream.set_nodelay(true);
     }
     let (near_read, near_write) = near.into_split();
@@ -102,7 +103,7 @@
     }
 }
 
-/// Passes on what one end sends.
+/// Forwards one direction of a connection; while it is blocked, data that was read waits.
 async fn pump(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
--- a/crates/gooseberry-bench/src/soak/site.rs
+++ b/crates/gooseberry-bench/src/soak/site.rs
@@ -1,4 +1,4 @@
-//! The processes of a soak and the proxies between them.
+//! The processes of a soak, the proxies between them, and the operations on both.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -18,22 +18,23 @@
 use crate::harness::child::{Child, write_settings};
 use crate::soak::proxy::Proxy;
 
-/// The events of a whole stream.
+/// Number of events in a complete stream.
 pub(crate) const EVENTS: u64 = 40;
 
-/// The data centres.
+/// Data centres; processes are assigned to them round-robin.
 const CENTRES: [&str; 3] = ["a", "b", "c"];
 
-/// The time between SIGTERM and SIGKILL of a gateway.
+/// Time between SIGTERM and SIGKILL in the settings of the gateways; the soak itself sends no
+/// SIGKILL after it.
 pub(crate) const STOP_GRACE: Duration = Duration::from_secs(8);
 
-/// The longest wait for a call of the soak's own.
+/// Time limit of each HTTP call from the bench to a process.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The longest wait for the gateways to serve.
+/// The longest wait for the store or the gateways to become ready.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How many processes there are of each kind.
+/// Number of processes of each kind.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Shape {
     pub(crate) gateways: usize,
@@ -41,45 +42,50 @@
     pub(crate) plain: usize,
 }
 
-/// A gateway and the proxies on its way.
+/// A gateway and its proxies.
 #[derive(Debug)]
 pub(crate) struct Gateway {
     child: Option<Child>,
     file: PathBuf,
-    /// Where the balancer asks whether it takes connections.
+    /// Address at which the balancer polls whether it accepts connections.
     pub(crate) ready: SocketAddr,
-    /// Between callers and the gateway.
+    /// Proxy between callers and the gateway.
     pub(crate) caller_proxy: Proxy,
-    /// Between the gateway and the store.
+    /// Proxy between the gateway and the store.
     pub(crate) store_proxy: Proxy,
 }
 
-/// A backend server and the proxy before it.
+/// A backend server and the proxy in front of it, whose address is the listed one.
 #[derive(Debug)]
 pub(crate) struct Server {
     child: Option<Child>,
     file: PathBuf,
     settings: worker::Settings,
     centre: &'static str,
+    /// Counts from 1; part of the id, and the start time in its row.
     incarnation: u64,
-    /// Whether it is listed as leaving, or no longer listed.
+    /// Whether it is listed as draining, or no longer listed.
     leaving: bool,
     pub(crate) proxy: Proxy,
 }
 
-/// The whole deployment.
+/// All processes and proxies of a soak.
 #[derive(Debug)]
 pub(crate) struct Site {
+    /// Folder of the binaries.
     programs: PathBuf,
+    /// Folder of settings, logs and records of this run.
     run_folder: PathBuf,
     store: Child,
     store_addr: SocketAddr,
     pub(crate) gateways: Vec<Gateway>,
     pub(crate) servers: Vec<Server>,
+    /// Version of the configuration written last.
     pub(crate) version: u64,
 }
 
-/// Hands out loopback addresses that no other soak uses.
+/// Allocates loopback addresses, derived from the process id and the seed so that concurrent soaks
+/// rarely share them.
 struct Addresses {
     base: [u8; 2],
     next: u8,
@@ -103,7 +109,7 @@
 }
 
 impl Site {
-    /// Starts all processes and waits until the gateways serve.
+    /// Starts all processes and waits until every gateway is ready.
     pub(crate) async fn start(
         programs: &Path,
         seed: u64,
@@ -219,7 +225,7 @@
         Ok(())
     }
 
-    /// Starts the process of a backend server under its present id.
+    /// Starts the process of a backend server under its current id.
     fn spawn_server(&mut self, i: usize) -> Result<(), BenchError> {
         let server = &mut self.servers[i];
         write_settings(&server.file, &server.settings)?;
@@ -234,7 +240,8 @@
         Ok(())
     }
 
-    /// Starts a backend server anew under another id and lists it.
+    /// Starts a backend server under a new id and replaces its row; the old process must have
+    /// exited.
     pub(crate) async fn replace_server(&mut self, i: usize) -> Result<(), BenchError> {
         self.unlist(i).await?;
         let server = &mut self.servers[i];
@@ -271,7 +278,7 @@
         self.servers[i].child.as_mut()
     }
 
-    /// Lists a backend server as leaving, unless a third of them leave already.
+    /// Lists a backend server as draining, unless at least a third of them drain already.
     pub(crate) async fn drain(&mut self, i: usize) -> Result<(), BenchError> {
         let leaving = self.servers.iter().filter(|s| s.leaving).count();
         if leaving * 3 >= self.servers.len() {
@@ -281,7 +288,7 @@
         self.list(i).await
     }
 
-    /// Takes the row of a backend server away although it lives.
+    /// Deletes the row of a backend server without stopping its process.
     pub(crate) async fn remove_row(&mut self, i: usize) -> Result<(), BenchError> {
         self.servers[i].leaving = true;
         self.unlist(i).await
@@ -307,7 +314,7 @@
             .await
     }
 
-    /// Writes a configuration.
+    /// Writes a configuration into the store.
     pub(crate) async fn configure(&self, config: Value) -> Result<(), BenchError> {
         let (table, key) = documents::CONFIG;
         self.put(table, key, Some(config)).await
@@ -322,12 +329,12 @@
         self.post_to_store("/standin/put", &body).await
     }
 
-    /// Switches a fault of the store.
+    /// Sets the fault switches of the store.
     pub(crate) async fn switch_store(&self, switch: &Switch) -> Result<(), BenchError> {
         self.post_to_store("/faults", switch).await
     }
 
-    /// Has the store forget its history.
+    /// Makes the store drop its history of changes.
     pub(crate) async fn compact(&self) -> Result<(), BenchError> {
         self.post_to_store("/standin/compact", &()).await
     }
@@ -351,7 +358,7 @@
         let end = Instant::now() + START_TIMEOUT;
         while self.compact().await.is_err() {
             if Instant::now() > end {
-                return Err(BenchError::NotReady("the store".to_owned()));
+                return Err(BenchError::NotReady("the store stand-in".to_owned()));
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
@@ -372,7 +379,8 @@
         Ok(())
     }
 
-    /// Ends every fault and starts what does not run.
+    /// Ends every fault, restarts every process that has exited, and waits until the gateways are
+    /// ready.
     pub(crate) async fn heal(&mut self) -> Result<(), BenchError> {
         self.store.thaw();
         self.switch_store(&Switch {
@@ -388,7 +396,7 @@
                 child.thaw();
             }
         }
-        // Those that were told to stop end within their grace.
+        // Gateways that received SIGTERM exit within their grace period and are then restarted.
         let end = Instant::now() + STOP_GRACE;
         while Instant::now() < end && !self.all_accept_connections().await {
             self.restart_gateways()?;
@@ -407,7 +415,7 @@
         self.wait_until_ready().await
     }
 
-    /// Starts every gateway again whose process has ended.
+    /// Restarts every gateway whose process has exited.
     pub(crate) fn restart_gateways(&mut self) -> Result<(), BenchError> {
         for i in 0..self.gateways.len() {
             if self.gateway(i).is_none_or(Child::has_ended) {
@@ -426,13 +434,13 @@
         true
     }
 
-    /// The ids that ran, each as often as it ran.
+    /// Sorted ids of the requests that backend servers ran, each as often as it ran.
     pub(crate) fn run_ids(&self) -> Vec<String> {
         let records = self
             .servers
             .iter()
             .filter_map(|s| s.settings.record.as_ref());
-        // A server that never ran anything has no file.
+        // A server that has not run any request has no file.
         let texts = records.filter_map(|f| std::fs::read_to_string(f).ok());
         let mut run_ids: Vec<String> = texts
             .flat_map(|t| t.lines().map(str::to_owned).collect::<Vec<_>>())
@@ -441,7 +449,7 @@
         run_ids
     }
 
-    /// Ends every process.
+    /// Kills every process and waits for its exit.
     pub(crate) async fn stop(&mut self) {
         for i in 0..self.gateways.len() {
             self.kill_gateway(i).await;
@@ -454,9 +462,9 @@
     }
 }
 
-/// Whether a gateway takes connections.
+/// Whether a gateway reports that it accepts connections.
 pub(crate) async fn accepts_connections(addr: SocketAddr) -> bool {
     let answer = web::client::get::<Value>(addr, "/readyz", CALL_TIMEOUT).await;
-    // A success whose body is not JSON is what a gateway answers.
+    // A gateway that is ready answers with a success whose body is not JSON.
     matches!(answer, Ok(_) | Err(web::client::CallError::Decode { .. }))
 }
--- a/crates/gooseberry-bench/tests/faults_smoke.rs
+++ b/crates/gooseberry-bench/tests/faults_smoke.rs
@@ -1,4 +1,5 @@
-//! One fault of the experiment with real processes: every answer is whole, whatever the timing.
+//! Runs one wave of `faults` in which an engine and a router are killed. Every answer must be
+//! exact, whatever the timing of the two failures.
 
 use std::process::Command;
 
--- a/crates/gooseberry-bench/tests/soak_smoke.rs
+++ b/crates/gooseberry-bench/tests/soak_smoke.rs
@@ -1,4 +1,5 @@
-//! Short seeded runs of the soak: random faults, and planned work only.
+//! Short runs of the soak with fixed seeds: one with random faults, one with planned operations
+//! only (every fourth seed). A run fails if it has any finding.
 
 use std::process::Command;
 
