--- a/crates/gooseberry-bench/src/faults/report.rs
+++ b/crates/gooseberry-bench/src/faults/report.rs
@@ -55,12 +55,12 @@
 
 /// The figures of the waves that the baselines run too.
 fn compared(run: &Run, token_total: u64) -> Value {
-    let some: Vec<&Outcome> = run
+    let selected: Vec<&Outcome> = run
         .outcomes
         .iter()
         .filter(|o| o.case.has_baseline())
         .collect();
-    figures(&some, run.fault_free, token_total)
+    figures(&selected, run.fault_free, token_total)
 }
 
 /// The figures of some waves; `token_total` is that of all waves of the run.
@@ -110,8 +110,8 @@
 }
 
 fn resume_times(outcomes: &[&Outcome], is_counted: fn(&Outcome) -> bool) -> Times {
-    let some = outcomes.iter().filter(|o| is_counted(o));
-    times(some.flat_map(|o| o.resume_times.iter().copied()))
+    let selected = outcomes.iter().filter(|o| is_counted(o));
+    times(selected.flat_map(|o| o.resume_times.iter().copied()))
 }
 
 fn percentiles(durations: &[Duration]) -> Value {
--- a/crates/gooseberry-bench/src/harness/caller.rs
+++ b/crates/gooseberry-bench/src/harness/caller.rs
@@ -74,7 +74,7 @@
 const IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// How long a superseded connection is read on after the caller has sent its request again.
-const OLD_LIMIT: Duration = Duration::from_secs(5);
+const SUPERSEDED_LIMIT: Duration = Duration::from_secs(5);
 
 /// The delay before each retry.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
@@ -165,16 +165,16 @@
             divergences: 0,
             error: None,
         };
-        let mut old = JoinSet::new();
+        let mut superseded = JoinSet::new();
         tokio::select! {
             // An answer that is incomplete at the time limit is judged as `Verdict::Lost`.
             _ = timeout(
                 self.limit,
-                self.retry_until_done(&mut transcript, behaviour, &mut old),
+                self.retry_until_done(&mut transcript, behaviour, &mut superseded),
             ) => {}
             () = behaviour.abandon.cancelled() => {}
         }
-        while let Some(continues) = old.join_next().await {
+        while let Some(continues) = superseded.join_next().await {
             transcript.divergences += u64::from(!continues.unwrap_or(false));
         }
         transcript
@@ -184,7 +184,7 @@
         &self,
         transcript: &mut Transcript,
         behaviour: &Behaviour,
-        old: &mut JoinSet<bool>,
+        superseded: &mut JoinSet<bool>,
     ) {
         let mut position = Position::default();
         let mut host = self.first;
@@ -196,7 +196,7 @@
                 .await
             {
                 let (prompt, text) = (self.prompt.clone(), transcript.text.clone());
-                old.spawn(read_old(open_events, prompt, text));
+                superseded.spawn(read_superseded(open_events, prompt, text));
             }
             if transcript.is_done {
                 return;
@@ -329,7 +329,7 @@
 
 /// Reads a connection that a newer request of the same caller supersedes; returns whether `text`
 /// with its further tokens is still a valid sequence.
-async fn read_old(mut events: EventStream, prompt: String, mut text: String) -> bool {
+async fn read_superseded(mut events: EventStream, prompt: String, mut text: String) -> bool {
     let read = async {
         while let Some(event) = events.next().await {
             let data = event.data.as_deref().unwrap_or_default();
@@ -342,7 +342,7 @@
         }
     };
     // A connection that stays open without sending anything does not make the answer wrong.
-    let _ = timeout(OLD_LIMIT, read).await;
+    let _ = timeout(SUPERSEDED_LIMIT, read).await;
     sequence::check(&prompt, &text).is_ok()
 }
 
--- a/crates/gooseberry-bench/src/harness/fleet.rs
+++ b/crates/gooseberry-bench/src/harness/fleet.rs
@@ -167,9 +167,9 @@
         relays: Option<&Relays>,
     ) -> Result<Self, BenchError> {
         let folder = create_run_folder()?;
-        let count = relays.map_or(1, Relays::centre_count);
+        let platform_count = relays.map_or(1, Relays::centre_count);
         let mut platforms = Vec::new();
-        for view in 0..count {
+        for view in 0..platform_count {
             let mut settings = plan.platform.clone();
             settings.listen = platform_address(view);
             settings.hosts = host_list(plan, relays.map(|r| (r, view)));
@@ -190,7 +190,7 @@
             engines: Vec::new(),
             plain: Vec::new(),
         };
-        for view in 0..count {
+        for view in 0..platform_count {
             put_document(platform_address(view), &plan.document).await?;
         }
         for i in 0..plan.engines.len() {
--- a/crates/gooseberry-bench/src/soak/faults.rs
+++ b/crates/gooseberry-bench/src/soak/faults.rs
@@ -105,7 +105,7 @@
         rng: &mut SmallRng,
     ) -> Result<(), BenchError> {
         let i = fault.target;
-        let span = Duration::from_millis(fault.span_ms);
+        let duration = Duration::from_millis(fault.span_ms);
         match fault.kind {
             Kind::KillServer => self.kill_server(i).await,
             Kind::KillCentre => {
@@ -120,7 +120,7 @@
             Kind::PauseServer => {
                 if let Some(child) = self.server(i) {
                     child.freeze();
-                    tokio::time::sleep(span).await;
+                    tokio::time::sleep(duration).await;
                     child.thaw();
                 }
             }
@@ -131,7 +131,7 @@
             Kind::PauseGateway => {
                 if let Some(child) = self.gateway(i) {
                     child.freeze();
-                    tokio::time::sleep(span).await;
+                    tokio::time::sleep(duration).await;
                     child.thaw();
                 }
             }
--- a/crates/gooseberry-bench/src/soak/proxy.rs
+++ b/crates/gooseberry-bench/src/soak/proxy.rs
@@ -84,7 +84,7 @@
 
 /// Forwards both directions of one connection until either end closes it or it is reset.
 async fn forward(near: TcpStream, target: SocketAddr, mode: watch::Receiver<Mode>) {
-    let opened = *mode.borrow();
+    let at_open = *mode.borrow();
     // If the target does not listen, the near connection closes at once.
     let Ok(far) = TcpStream::connect(target).await else {
         return;
@@ -95,11 +95,11 @@
     }
     let (near_read, near_write) = near.into_split();
     let (far_read, far_write) = far.into_split();
-    let mut reset_epoch = mode.clone();
+    let mut mode_changes = mode.clone();
     tokio::select! {
-        () = pump(near_read, far_write, mode.clone(), opened, |m| m.blocks_requests) => {}
-        () = pump(far_read, near_write, mode, opened, |m| m.blocks_answers) => {}
-        _ = reset_epoch.wait_for(|m| m.reset_epoch > opened.reset_epoch) => {}
+        () = pump(near_read, far_write, mode.clone(), at_open, |m| m.blocks_requests) => {}
+        () = pump(far_read, near_write, mode, at_open, |m| m.blocks_answers) => {}
+        _ = mode_changes.wait_for(|m| m.reset_epoch > at_open.reset_epoch) => {}
     }
 }
 
@@ -108,7 +108,7 @@
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     mut mode: watch::Receiver<Mode>,
-    opened: Mode,
+    at_open: Mode,
     is_blocked: fn(&Mode) -> bool,
 ) {
     let mut buffer = vec![0; BUFFER_BYTES];
@@ -116,7 +116,7 @@
         let Ok(count) = from.read(&mut buffer).await else {
             return;
         };
-        let passes = |m: &Mode| !is_blocked(m) && m.stall_epoch <= opened.stall_epoch;
+        let passes = |m: &Mode| !is_blocked(m) && m.stall_epoch <= at_open.stall_epoch;
         let delay = match mode.wait_for(passes).await {
             Ok(mode) => mode.delay_ms,
             Err(_) => return,
