--- a/crates/gooseberry-bench/src/calls/load.rs
+++ b/crates/gooseberry-bench/src/calls/load.rs
@@ -13,7 +13,7 @@
 
 use super::caller::{Call, CallResult, Outcome};
 use crate::harness::BenchError;
-use crate::harness::fleet::{CALL, Fleet};
+use crate::harness::fleet::{CALL_TIMEOUT, Fleet};
 
 /// Suffix of the statsd metric with the latency of a claim, as it appears in a packet.
 const CLAIM_METRIC: &str = "claims.claim:";
@@ -119,7 +119,7 @@
 }
 
 async fn stats(fleet: &Fleet) -> Result<Stats, BenchError> {
-    Ok(web::client::get(fleet.platform_addr, "/stats", CALL).await?)
+    Ok(web::client::get(fleet.platform_addr, "/stats", CALL_TIMEOUT).await?)
 }
 
 /// Summarises latencies in milliseconds; times above [`MAX_MS`] count as that.
--- a/crates/gooseberry-bench/src/config/judge.rs
+++ b/crates/gooseberry-bench/src/config/judge.rs
@@ -10,7 +10,7 @@
 use super::agents::{Agent, Agents, WORKSPACES};
 use super::changes::{Operators, ProposedChange};
 use crate::harness::BenchError;
-use crate::harness::fleet::CALL;
+use crate::harness::fleet::CALL_TIMEOUT;
 use crate::harness::report::{Times, times};
 
 /// Time within which a change should reach an agent: an agent that becomes unreachable later than
@@ -55,7 +55,7 @@
     }
     let mut delays = Vec::new();
     for agent in &agents.all {
-        let state: Value = web::client::get(agent.admin, "/v1/state", CALL).await?;
+        let state: Value = web::client::get(agent.admin, "/v1/state", CALL_TIMEOUT).await?;
         let Ok(state) = serde_json::from_value::<State>(state) else {
             verdict.reverted += 1;
             continue;
--- a/crates/gooseberry-bench/src/drain/callers.rs
+++ b/crates/gooseberry-bench/src/drain/callers.rs
@@ -13,8 +13,8 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::demo::BEARER;
-use crate::harness::caller::{Ask, Verdict};
-use crate::harness::fleet::{CALL, Fleet};
+use crate::harness::caller::{Caller, Verdict};
+use crate::harness::fleet::{CALL_TIMEOUT, Fleet};
 
 /// Interval of the load balancer's readiness checks.
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
@@ -102,7 +102,8 @@
     loop {
         let mut found = Vec::new();
         for (callers, admin) in &hosts {
-            let answer: Result<Value, _> = web::client::get(*admin, "/v1/ready", CALL).await;
+            let answer: Result<Value, _> =
+                web::client::get(*admin, "/v1/ready", CALL_TIMEOUT).await;
             if answer.is_ok() {
                 found.push(*callers);
             }
@@ -126,7 +127,7 @@
             sleep(HEALTH_CHECK_INTERVAL).await;
             continue;
         }
-        let ask = Ask {
+        let ask = Caller {
             key: format!("drain-{caller}-{}", tally.requests),
             bearer: BEARER.to_owned(),
             model: "draft-model".to_owned(),
@@ -140,8 +141,8 @@
         tally.add(&Tally {
             requests: 1,
             exact: u64::from(ask.judge(&seen) == Verdict::Exact),
-            cut: seen.cuts,
-            refused: seen.repeats.saturating_sub(seen.cuts),
+            cut: seen.interruptions,
+            refused: seen.retries.saturating_sub(seen.interruptions),
             restarted: seen.restarts,
         });
     }
--- a/crates/gooseberry-bench/src/faults/site.rs
+++ b/crates/gooseberry-bench/src/faults/site.rs
@@ -1,4 +1,4 @@
-//! The deployments of both users, near their sizes of today.
+//! The two deployments that the experiment models, near their present sizes.
 
 use std::time::Duration;
 
@@ -13,78 +13,79 @@
 use serde_json::json;
 use strum::{Display, EnumString};
 
-use crate::harness::caller::Ask;
+use crate::harness::caller::Caller;
 use crate::harness::fleet::{Fleet, PlainPlan, Plan};
 
-/// The entry hosts of each user.
+/// Number of entry hosts of each deployment.
 const HOSTS: usize = 8;
 
-/// The most tokens of an answer.
-const TOKENS: u64 = 160;
+/// `max_tokens` of a request.
+const MAX_TOKENS: u64 = 160;
 
-/// How many times longer the answers are whose callers go away.
-const LONG: u64 = 10;
+/// Factor on [`MAX_TOKENS`] for callers that abandon their request.
+const LONG_FACTOR: u64 = 10;
 
-/// The documents that prompts begin with.
-const SCRIPTS: usize = 24;
+/// Number of different documents that prompts begin with.
+const DOCUMENTS: usize = 24;
 
-/// The bytes of such a document.
-const SCRIPT_BYTES: usize = 4_096;
+/// Size of a document, in bytes.
+const DOCUMENT_BYTES: usize = 4_096;
 
-/// The prompt blocks that an engine's cache holds: three documents and some more.
+/// Prompt blocks that an engine's cache holds: room for three documents and a few more blocks.
 const CACHE_BLOCKS: usize = 220;
 
-/// The longest that one answer may take.
-const LIMIT: Duration = Duration::from_secs(15);
+/// Time limit of a caller for its complete answer.
+const ANSWER_LIMIT: Duration = Duration::from_secs(15);
 
-/// The bearer key of the workspace.
+/// API key of the workspace.
 const BEARER: &str = "bench-key";
 
-/// The fixed timeout of the baseline that knows no other sign of a loss, in milliseconds.
-const FIXED_MS: u64 = 5_000;
+/// The fixed timeout of the `timeout` baseline, its only sign of a loss, in milliseconds.
+const FIXED_TIMEOUT_MS: u64 = 5_000;
 
-/// Whose deployment.
+/// A deployment, with its topology and profile.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, EnumString, Serialize)]
 #[strum(serialize_all = "kebab-case")]
 #[serde(rename_all = "kebab-case")]
-pub(crate) enum User {
-    /// Sao Mai Call Sheet Router Fleet, which weighs the time to resume.
+pub(crate) enum Deployment {
+    /// Sao Mai Call Sheet Router Fleet, whose profile favours a short time to resume.
     SaoMai,
-    /// Freedom of Information Router at NYAH, which weighs the extra work.
+    /// Freedom of Information Router at NYAH, whose profile favours little extra work.
     Nyah,
 }
 
-/// What carries the streams over a failure.
+/// How streams recover from a failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, EnumString, Serialize)]
 #[strum(serialize_all = "snake_case")]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Variant {
-    /// The user's profile.
+    /// As the deployment's profile sets it.
     Resume,
-    /// Suspicion as in the profile, then again from the first token.
+    /// Suspicion as in the profile, then a restart from the first token.
     Scratch,
-    /// A fixed timeout, then again from the first token.
+    /// A fixed timeout, then a restart from the first token.
     Timeout,
 }
 
-/// One deployment and its callers.
+/// The processes, configuration and callers of one run.
 #[derive(Clone, Debug)]
 pub(crate) struct Site {
-    pub(crate) user: User,
+    pub(crate) deployment: Deployment,
     pub(crate) variant: Variant,
+    /// Number of callers in each wave.
     pub(crate) streams: usize,
 }
 
 impl Site {
-    pub(crate) fn new(user: User, variant: Variant, streams: usize) -> Self {
+    pub(crate) fn new(deployment: Deployment, variant: Variant, streams: usize) -> Self {
         Self {
-            user,
+            deployment,
             variant,
             streams,
         }
     }
 
-    /// The processes of the deployment.
+    /// The processes to start and their configuration.
     pub(crate) fn plan(&self) -> Plan {
         let centres = self.centres();
         let spread = |count: usize| {
@@ -107,23 +108,23 @@
     }
 
     fn centres(&self) -> &'static [&'static str] {
-        match self.user {
-            User::SaoMai => &["vn-south-a", "vn-south-b", "vn-south-c"],
-            User::Nyah => &["bp-kelet", "bp-nyugat", "fehervar-dc", "godollo-dc"],
+        match self.deployment {
+            Deployment::SaoMai => &["vn-south-a", "vn-south-b", "vn-south-c"],
+            Deployment::Nyah => &["bp-kelet", "bp-nyugat", "fehervar-dc", "godollo-dc"],
         }
     }
 
     fn engines(&self) -> usize {
-        match self.user {
-            User::SaoMai => 25,
-            User::Nyah => 20,
+        match self.deployment {
+            Deployment::SaoMai => 25,
+            Deployment::Nyah => 20,
         }
     }
 
     pub(crate) fn service(&self) -> &'static str {
-        match self.user {
-            User::SaoMai => "draft-model",
-            User::Nyah => "modellszerver",
+        match self.deployment {
+            Deployment::SaoMai => "draft-model",
+            Deployment::Nyah => "modellszerver",
         }
     }
 
@@ -131,30 +132,30 @@
         engine::Settings::default().models.remove(0)
     }
 
-    /// The user's profile, changed for a baseline.
+    /// The deployment's policy, changed for a baseline.
     fn policy(&self) -> Policy {
-        let own = match self.user {
-            User::SaoMai => sao_mai(),
-            User::Nyah => nyah(),
+        let base = match self.deployment {
+            Deployment::SaoMai => sao_mai(),
+            Deployment::Nyah => nyah(),
         };
         match self.variant {
-            Variant::Resume => own,
+            Variant::Resume => base,
             Variant::Scratch => Policy {
                 mode: Mode::Scratch,
-                ..own
+                ..base
             },
             Variant::Timeout => Policy {
                 mode: Mode::Scratch,
-                floor_ms: FIXED_MS,
-                ceiling_ms: FIXED_MS,
-                first_ms: FIXED_MS,
-                ..own
+                floor_ms: FIXED_TIMEOUT_MS,
+                ceiling_ms: FIXED_TIMEOUT_MS,
+                first_ms: FIXED_TIMEOUT_MS,
+                ..base
             },
         }
     }
 
-    /// How long a generation goes on for a caller that went away.
-    pub(crate) fn orphan(&self) -> Duration {
+    /// How long a generation goes on after its caller has disconnected.
+    pub(crate) fn orphan_limit(&self) -> Duration {
         Duration::from_millis(self.policy().orphan_ms)
     }
 
@@ -189,31 +190,42 @@
         }
     }
 
-    /// The request of one caller of a wave.
-    pub(crate) fn ask(&self, fleet: &Fleet, run: &str, wave: usize, i: usize, long: bool) -> Ask {
-        Ask {
+    /// Caller `i` of a wave; `run` is a prefix that keeps its key apart from those of other runs.
+    pub(crate) fn caller(
+        &self,
+        fleet: &Fleet,
+        run: &str,
+        wave: usize,
+        i: usize,
+        is_long: bool,
+    ) -> Caller {
+        Caller {
             key: format!("{run}-{wave}-{i}"),
             bearer: BEARER.to_owned(),
             model: self.service().to_owned(),
             prompt: prompt(wave, i),
-            max_tokens: if long { TOKENS * LONG } else { TOKENS },
+            max_tokens: if is_long {
+                MAX_TOKENS * LONG_FACTOR
+            } else {
+                MAX_TOKENS
+            },
             hosts: fleet.hosts.iter().map(|h| h.callers).collect(),
             first: i,
-            limit: LIMIT,
+            limit: ANSWER_LIMIT,
         }
     }
 }
 
-/// A long document, which several callers share, and a question of one caller's own.
+/// A prompt of a long document, which several callers share, and a question that is unique to one.
 pub(crate) fn prompt(wave: usize, i: usize) -> String {
-    let script = (wave * 5 + i / 5) % SCRIPTS;
-    let line = format!("Document {script}: the scene is set at dawn, the crew is on the road. ");
-    let mut text: String = line.chars().cycle().take(SCRIPT_BYTES).collect();
+    let document = (wave * 5 + i / 5) % DOCUMENTS;
+    let line = format!("Document {document}: the scene is set at dawn, the crew is on the road. ");
+    let mut text: String = line.chars().cycle().take(DOCUMENT_BYTES).collect();
     text.push_str(&format!("Question {wave}-{i}: draft the answer."));
     text
 }
 
-/// Sao Mai: output goes on as soon as can be.
+/// Sao Mai: short timeouts and hedging, so that output resumes as soon as possible.
 fn sao_mai() -> Policy {
     Policy {
         mode: Mode::Latency,
@@ -230,7 +242,7 @@
     }
 }
 
-/// NYAH: no work is done twice unless an engine is certainly gone.
+/// NYAH: work is repeated only once an engine has certainly failed.
 fn nyah() -> Policy {
     Policy {
         mode: Mode::Cost,
--- a/crates/gooseberry-bench/src/harness/fleet.rs
+++ b/crates/gooseberry-bench/src/harness/fleet.rs
@@ -1,4 +1,4 @@
-//! A deployment of real processes on loopback addresses.
+//! Starts and restarts the processes of a deployment on loopback addresses.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -25,118 +25,119 @@
 use super::child::{Child, write_settings};
 use super::relay::Relays;
 
-/// The longest wait for a process to become ready; it bounds the start of a run, not what is measured.
-/// Start-up took more than 10 s beside four busy processes a core.
-const READY: Duration = Duration::from_secs(60);
+/// The longest wait for a process to become ready. Measurements start after it. With four busy
+/// processes per core, start-up took more than 10 s.
+const READY_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The time between looks at whether a process is ready.
-const LOOK: Duration = Duration::from_millis(50);
+/// The interval of readiness polls.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The time limit of a call of the bench to a process.
-pub(crate) const CALL: Duration = Duration::from_secs(2);
+/// Time limit of each HTTP call from the bench to a process.
+pub(crate) const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The operators' key.
-pub(crate) const OPERATOR: &str = "operator-key";
+/// Key of the operator interface of routers and agents; their settings hold its digest.
+pub(crate) const OPERATOR_KEY: &str = "operator-key";
 
-/// The ports of the processes; each host has an address of its own.
-const CALLERS: u16 = 7001;
-const ROUTER_PEERS: u16 = 7002;
-const ROUTER_ADMIN: u16 = 7003;
-const AGENT_PEERS: u16 = 7004;
-const AGENT_ADMIN: u16 = 7005;
-const BACKEND: u16 = 7010;
-const PLAIN: u16 = 7011;
-const PLATFORM: u16 = 7020;
+/// Ports of the processes; processes of the same kind differ in their loopback address.
+const CALLERS_PORT: u16 = 7001;
+const ROUTER_PEERS_PORT: u16 = 7002;
+const ROUTER_ADMIN_PORT: u16 = 7003;
+const AGENT_PEERS_PORT: u16 = 7004;
+const AGENT_ADMIN_PORT: u16 = 7005;
+const BACKEND_PORT: u16 = 7010;
+const PLAIN_PORT: u16 = 7011;
+const PLATFORM_PORT: u16 = 7020;
 
-/// The distance between the ports of the relays to one address.
-const RELAY_STEP: u16 = 100;
+/// Offset between the ports of the relays from successive data centres to one address.
+const RELAY_PORT_STEP: u16 = 100;
 
-/// What a deployment consists of.
+/// Composition and settings of a deployment.
 #[derive(Clone, Debug)]
 pub(crate) struct Plan {
-    /// The data centre of each entry host.
+    /// Data centre of each entry host.
     pub(crate) hosts: Vec<DataCentre>,
-    /// The data centre of each engine.
+    /// Data centre of each engine.
     pub(crate) engines: Vec<DataCentre>,
-    /// The service that the engines form.
+    /// Service of all engines.
     pub(crate) service: ServiceName,
-    /// What the engines are like.
+    /// Settings of the engines; address and seed are set for each.
     pub(crate) engine: engine::Settings,
-    /// What the platform is like.
+    /// Settings of the platform stand-in; address and host list are set at the start.
     pub(crate) platform: standin::Settings,
-    /// The configuration.
+    /// Configuration that the platform holds as version 1 at the start.
     pub(crate) document: Document,
-    /// The plain service beside the engines.
+    /// Plain service beside the engines.
     pub(crate) plain: PlainPlan,
 }
 
 /// The plain service of a deployment; by default it has no servers.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PlainPlan {
-    /// The data centre of each server.
+    /// Data centre of each server.
     pub(crate) servers: Vec<DataCentre>,
-    /// The service that they form.
+    /// Service of all these servers.
     pub(crate) service: ServiceName,
-    /// What they are like.
+    /// Settings of the servers; address and record file are set for each.
     pub(crate) settings: service::Settings,
-    /// How routers share the table's writes.
+    /// How routers batch their claims into writes of the platform's table.
     pub(crate) claims: Claims,
-    /// Where routers send metrics, if anywhere.
+    /// Address to which routers send statsd metrics; `None` sends none.
     pub(crate) statsd: Option<SocketAddr>,
 }
 
 /// A server of the plain service.
 #[derive(Debug)]
 pub(crate) struct PlainServer {
-    /// Its address.
+    /// Address of its HTTP server.
     pub(crate) addr: SocketAddr,
-    /// Its process.
+    /// Its current process.
     pub(crate) process: Child,
-    /// The keys of its calls, one a line, also of its earlier lives.
-    pub(crate) runs: PathBuf,
+    /// File with the key of each call that it ran, one per line, kept across restarts.
+    pub(crate) run_record: PathBuf,
     file: PathBuf,
 }
 
-/// An entry host.
+/// A router and an agent on one host.
 #[derive(Debug)]
 pub(crate) struct EntryHost {
-    /// Where callers come in.
+    /// Address on which the router accepts callers.
     pub(crate) callers: SocketAddr,
-    /// Where operators ask its router.
+    /// Operator interface of the router.
     pub(crate) admin: SocketAddr,
-    /// The router.
+    /// Current router process.
     pub(crate) router: Child,
-    /// The agent.
+    /// Current agent process.
     pub(crate) agent: Child,
-    /// Where operators ask its agent.
+    /// Operator interface of the agent.
     pub(crate) agent_admin: SocketAddr,
     router_file: PathBuf,
     agent_file: PathBuf,
 }
 
-/// An engine.
+/// An engine stand-in.
 #[derive(Debug)]
 pub(crate) struct Engine {
-    /// Its name.
+    /// Host name in the platform's list.
     pub(crate) name: String,
-    /// Its address.
+    /// Address of its HTTP server, not of a relay.
     pub(crate) addr: SocketAddr,
-    /// Its process.
+    /// Its current process.
     pub(crate) process: Child,
     file: PathBuf,
 }
 
-/// A running deployment; everything ends with it.
+/// A running deployment; dropping it kills its processes and removes the run's folder.
 #[derive(Debug)]
 pub(crate) struct Fleet {
     programs: PathBuf,
     folder: PathBuf,
-    /// The platform.
+    /// Platform process; with relays, the one of the first data centre.
     pub(crate) platform: Child,
-    /// The platform's address.
+    /// Address of that platform.
     pub(crate) platform_addr: SocketAddr,
-    /// With relays, the platforms that show each further data centre its own addresses.
-    views: Vec<Child>,
+    /// With relays, one platform for each further data centre: their host lists differ in the relay
+    /// addresses.
+    extra_platforms: Vec<Child>,
     /// The entry hosts.
     pub(crate) hosts: Vec<EntryHost>,
     /// The engines.
@@ -147,27 +148,28 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        // What is left behind in the temporary folder harms nobody.
+        // Files left in the temporary folder do no harm.
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
 impl Fleet {
-    /// Starts all processes and waits until every router takes requests.
+    /// Starts all processes and waits until every router is ready and reports every backend alive.
     pub(crate) async fn start(programs: &Path, plan: &Plan) -> Result<Self, BenchError> {
-        Self::start_with(programs, plan, None).await
+        Self::start_relayed(programs, plan, None).await
     }
 
-    /// As [`Self::start`], with connections between the processes going through `relays`.
-    pub(crate) async fn start_with(
+    /// As [`Self::start`], with connections to router peer ports and engines going through
+    /// `relays`.
+    pub(crate) async fn start_relayed(
         programs: &Path,
         plan: &Plan,
         relays: Option<&Relays>,
     ) -> Result<Self, BenchError> {
-        let folder = folder()?;
-        let count = relays.map_or(1, Relays::centres);
+        let folder = create_run_folder()?;
+        let platform_count = relays.map_or(1, Relays::centre_count);
         let mut platforms = Vec::new();
-        for view in 0..count {
+        for view in 0..platform_count {
             let mut settings = plan.platform.clone();
             settings.listen = platform_address(view);
             settings.hosts = host_list(plan, relays.map(|r| (r, view)));
@@ -176,19 +178,19 @@
             let started = Child::start(programs, "gooseberry-standin", &["platform"], &file)?;
             platforms.push(started);
         }
-        let views = platforms.split_off(1);
+        let extra_platforms = platforms.split_off(1);
         let platform = platforms.remove(0);
         let mut fleet = Self {
             programs: programs.to_owned(),
             folder,
             platform,
             platform_addr: platform_address(0),
-            views,
+            extra_platforms,
             hosts: Vec::new(),
             engines: Vec::new(),
             plain: Vec::new(),
         };
-        for view in 0..count {
+        for view in 0..platform_count {
             put_document(platform_address(view), &plan.document).await?;
         }
         for i in 0..plan.engines.len() {
@@ -198,32 +200,33 @@
             fleet.start_plain(plan, i)?;
         }
         for i in 0..plan.hosts.len() {
-            let view = relays.map_or(0, |r| r.centre(&plan.hosts[i]));
+            let view = relays.map_or(0, |r| r.centre_index(&plan.hosts[i]));
             fleet.start_host(plan, i, platform_address(view))?;
         }
         for host in &fleet.hosts {
-            until_ready(host.admin, &host.callers.to_string()).await?;
+            wait_until_ready(host.admin, &host.callers.to_string()).await?;
         }
         let backends = plan.engines.len() + plan.plain.servers.len();
-        fleet.until_seen(backends).await?;
+        fleet.wait_for_backends(backends).await?;
         Ok(fleet)
     }
 
-    /// Starts a router again at its old addresses.
+    /// Starts a new router process with the settings of the old one, which must have exited.
     pub(crate) fn restart_router(&mut self, i: usize) -> Result<(), BenchError> {
         let file = self.hosts[i].router_file.clone();
         self.hosts[i].router = Child::start(&self.programs, "gooseberry-router", &[], &file)?;
         Ok(())
     }
 
-    /// Starts agent and router of a host again at their old addresses.
+    /// Starts new agent and router processes with the settings of the old ones, which must have
+    /// exited.
     pub(crate) fn restart_host(&mut self, i: usize) -> Result<(), BenchError> {
         let file = self.hosts[i].agent_file.clone();
         self.hosts[i].agent = Child::start(&self.programs, "gooseberry-agent", &[], &file)?;
         self.restart_router(i)
     }
 
-    /// Puts an engine into the platform's host list as leaving or not.
+    /// Writes an engine's row of the platform's host list, with the given `leaving` mark.
     pub(crate) async fn list_engine(
         &self,
         plan: &Plan,
@@ -232,7 +235,7 @@
     ) -> Result<(), BenchError> {
         let platform = Platform {
             addr: self.platform_addr,
-            limit: CALL,
+            limit: CALL_TIMEOUT,
         };
         let name = engine_name(i);
         let listed = host_list(plan, None).into_iter().find(|h| h.name == name);
@@ -243,15 +246,17 @@
         Ok(())
     }
 
-    /// Waits until every router takes requests and sees every engine alive.
-    pub(crate) async fn settle(&self) -> Result<(), BenchError> {
+    /// Waits until every router is ready and reports every backend alive.
+    pub(crate) async fn wait_until_serving(&self) -> Result<(), BenchError> {
         for host in &self.hosts {
-            until_ready(host.admin, &host.callers.to_string()).await?;
+            wait_until_ready(host.admin, &host.callers.to_string()).await?;
         }
-        self.until_seen(self.engines.len() + self.plain.len()).await
+        self.wait_for_backends(self.engines.len() + self.plain.len())
+            .await
     }
 
-    /// Ends all processes and waits for them, so that their addresses are free again.
+    /// Kills all entry hosts, engines and the platform and waits for their exit, which frees their
+    /// addresses.
     pub(crate) async fn stop(mut self) {
         let hosts = self
             .hosts
@@ -261,12 +266,12 @@
         let platform = std::iter::once(&mut self.platform);
         for child in hosts.chain(engines).chain(platform) {
             child.kill();
-            // A killed process never ends with success.
+            // The exit status of a killed process says nothing.
             let _ = child.wait().await;
         }
     }
 
-    /// Starts an engine again at its old address.
+    /// Starts a new engine process with the settings of the old one, which must have exited.
     pub(crate) fn restart_engine(&mut self, i: usize) -> Result<(), BenchError> {
         let file = self.engines[i].file.clone();
         self.engines[i].process =
@@ -274,7 +279,8 @@
         Ok(())
     }
 
-    /// Starts a server of the plain service again at its old address.
+    /// Starts a new process of a plain server with the settings of the old one, which must have
+    /// exited.
     pub(crate) fn restart_plain(&mut self, i: usize) -> Result<(), BenchError> {
         let file = self.plain[i].file.clone();
         self.plain[i].process =
@@ -282,23 +288,24 @@
         Ok(())
     }
 
-    /// The state dump of a router.
+    /// Fetches the state dump of a router.
     pub(crate) async fn state(&self, host: usize) -> Result<Value, BenchError> {
-        Ok(web::client::get(self.hosts[host].admin, "/v1/state", CALL).await?)
+        Ok(web::client::get(self.hosts[host].admin, "/v1/state", CALL_TIMEOUT).await?)
     }
 
-    /// What an engine has done.
+    /// Fetches the counters of an engine, which cover the time since its process started.
     pub(crate) async fn engine_stats(&self, i: usize) -> Result<engine::Stats, BenchError> {
-        Ok(web::client::get(self.engines[i].addr, "/stats", CALL).await?)
+        Ok(web::client::get(self.engines[i].addr, "/stats", CALL_TIMEOUT).await?)
     }
 
-    /// Switches a fault of a stand-in.
+    /// Sets the fault switches of a stand-in.
     pub(crate) async fn switch(
         &self,
         addr: SocketAddr,
         fault: &gooseberry_standin::faults::Switch,
     ) -> Result<(), BenchError> {
-        let _: Value = web::client::call(addr, Method::POST, "/faults", fault, CALL).await?;
+        let _: Value =
+            web::client::call(addr, Method::POST, "/faults", fault, CALL_TIMEOUT).await?;
         Ok(())
     }
 
@@ -320,10 +327,10 @@
     }
 
     fn start_plain(&mut self, plan: &Plan, i: usize) -> Result<(), BenchError> {
-        let runs = self.folder.join(format!("{}.runs", plain_name(i)));
+        let run_record = self.folder.join(format!("{}.runs", plain_name(i)));
         let settings = service::Settings {
             listen: plain_address(i),
-            record: Some(runs.clone()),
+            record: Some(run_record.clone()),
             ..plan.plain.settings.clone()
         };
         let file = self.folder.join(format!("{}.json", plain_name(i)));
@@ -332,7 +339,7 @@
         self.plain.push(PlainServer {
             addr: settings.listen,
             process,
-            runs,
+            run_record,
             file,
         });
         Ok(())
@@ -362,51 +369,54 @@
         Ok(())
     }
 
-    /// Waits until every router sees this many live backend servers.
-    async fn until_seen(&self, count: usize) -> Result<(), BenchError> {
-        let deadline = Instant::now() + READY;
+    /// Waits until every router reports at least `count` backends as alive.
+    async fn wait_for_backends(&self, count: usize) -> Result<(), BenchError> {
+        let deadline = Instant::now() + READY_TIMEOUT;
         for i in 0..self.hosts.len() {
             loop {
-                // A host that is still starting may be late with its answer.
+                // While a router starts, its dump may fail; an error counts only at the deadline.
                 let state = self.state(i).await;
                 let backends = state.as_ref().ok().and_then(|s| s["backends"].as_array());
                 let is_alive = |b: &&Value| b["seen"]["alive"] == true;
-                let seen = backends.map_or(0, |all| all.iter().filter(is_alive).count());
-                if seen >= count {
+                let alive = backends.map_or(0, |all| all.iter().filter(is_alive).count());
+                if alive >= count {
                     break;
                 }
                 if Instant::now() > deadline {
                     state?;
                     return Err(BenchError::NotReady(format!("host {i}")));
                 }
-                sleep(LOOK).await;
+                sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
     }
 }
 
-/// Puts the first configuration into a platform's table.
+/// Commits `document` to a platform's table as version 1, retrying until the platform is up.
 async fn put_document(addr: SocketAddr, document: &Document) -> Result<(), BenchError> {
-    let platform = Platform { addr, limit: CALL };
+    let platform = Platform {
+        addr,
+        limit: CALL_TIMEOUT,
+    };
     let first = Revision {
         version: Version(1),
         operation: OperationId::from("first"),
         changes: diff(&Document::default(), document),
     };
     let body = commit_ops(&HeadRow::default(), &first);
-    let deadline = Instant::now() + READY;
+    let deadline = Instant::now() + READY_TIMEOUT;
     loop {
         match platform.transact(&body).await {
             Ok(_) => return Ok(()),
             Err(e) if Instant::now() > deadline => return Err(e.into()),
-            Err(_) => sleep(LOOK).await,
+            Err(_) => sleep(POLL_INTERVAL).await,
         }
     }
 }
 
-/// The log of a run's own processes.
-fn log() -> Log {
+/// Log settings of the routers and agents.
+fn log_settings() -> Log {
     Log::default()
 }
 
@@ -415,18 +425,18 @@
         host: host_name(i),
         data_centre: plan.hosts[i].clone(),
         listen: RouterListen {
-            callers: host_address(i, CALLERS),
-            peers: host_address(i, ROUTER_PEERS),
-            admin: host_address(i, ROUTER_ADMIN),
+            callers: host_address(i, CALLERS_PORT),
+            peers: host_address(i, ROUTER_PEERS_PORT),
+            admin: host_address(i, ROUTER_ADMIN_PORT),
         },
-        agent: host_address(i, AGENT_PEERS),
+        agent: host_address(i, AGENT_PEERS_PORT),
         platform,
         platform_ms: 1_000,
         journal: journal::store::Limits::default(),
         claims: plan.plain.claims,
         drain_ms: 60_000,
-        operator_digest: Some(key_digest(OPERATOR)),
-        log: log(),
+        operator_digest: Some(key_digest(OPERATOR_KEY)),
+        log: log_settings(),
         statsd: plan.plain.statsd,
     }
 }
@@ -436,8 +446,8 @@
         host: host_name(i),
         data_centre: plan.hosts[i].clone(),
         listen: AgentListen {
-            peers: host_address(i, AGENT_PEERS),
-            admin: host_address(i, AGENT_ADMIN),
+            peers: host_address(i, AGENT_PEERS_PORT),
+            admin: host_address(i, AGENT_ADMIN_PORT),
         },
         platform,
         platform_ms: 1_000,
@@ -445,21 +455,22 @@
         load_ms: 250,
         peers: Vec::new(),
         spread: Topology::default(),
-        operator_digest: Some(key_digest(OPERATOR)),
-        log: log(),
+        operator_digest: Some(key_digest(OPERATOR_KEY)),
+        log: log_settings(),
         statsd: None,
     }
 }
 
-/// The platform's list of all hosts, as one data centre sees them through relays.
+/// The platform's host list. With relays, `view` holds them and the index of the data centre whose
+/// relay addresses the list gives.
 fn host_list(plan: &Plan, view: Option<(&Relays, usize)>) -> Vec<Host> {
-    let through = |addr| view.map_or(addr, |(_, centre)| relay_address(centre, addr));
+    let dial_address = |addr| view.map_or(addr, |(_, centre)| relay_address(centre, addr));
     let entries = plan.hosts.iter().enumerate().map(|(i, data_centre)| Host {
         name: host_name(i).0,
         data_centre: data_centre.clone(),
         kind: HostKind::Entry {
-            router: through(host_address(i, ROUTER_PEERS)),
-            agent: host_address(i, AGENT_PEERS),
+            router: dial_address(host_address(i, ROUTER_PEERS_PORT)),
+            agent: host_address(i, AGENT_PEERS_PORT),
         },
         leaving: false,
     });
@@ -472,7 +483,7 @@
             data_centre: data_centre.clone(),
             kind: HostKind::Backend {
                 service: plan.service.clone(),
-                addr: through(engine_address(i)),
+                addr: dial_address(engine_address(i)),
             },
             leaving: false,
         });
@@ -489,23 +500,23 @@
     entries.chain(engines).chain(plain).collect()
 }
 
-/// The addresses behind relays, each with the data centre in which it is.
-pub(crate) fn relayed(plan: &Plan) -> Vec<(SocketAddr, DataCentre)> {
+/// Addresses that are reached through relays, with the data centre of each.
+pub(crate) fn relay_targets(plan: &Plan) -> Vec<(SocketAddr, DataCentre)> {
     let hosts = plan.hosts.iter().enumerate();
-    let hosts = hosts.map(|(i, d)| (host_address(i, ROUTER_PEERS), d.clone()));
+    let hosts = hosts.map(|(i, d)| (host_address(i, ROUTER_PEERS_PORT), d.clone()));
     let engines = plan.engines.iter().enumerate();
     let engines = engines.map(|(i, d)| (engine_address(i), d.clone()));
     hosts.chain(engines).collect()
 }
 
-/// Where the processes of a data centre find `target`.
+/// Address of the relay from a data centre to `target`.
 pub(crate) fn relay_address(centre: usize, target: SocketAddr) -> SocketAddr {
     let shift = u16::try_from(centre + 1).unwrap_or(u16::MAX);
-    SocketAddr::new(target.ip(), target.port() + RELAY_STEP * shift)
+    SocketAddr::new(target.ip(), target.port() + RELAY_PORT_STEP * shift)
 }
 
 fn platform_address(view: usize) -> SocketAddr {
-    address(0, 1 + view, PLATFORM)
+    address(0, 1 + view, PLATFORM_PORT)
 }
 
 fn host_name(i: usize) -> HostId {
@@ -521,7 +532,7 @@
 }
 
 fn engine_address(i: usize) -> SocketAddr {
-    address(2, i, BACKEND)
+    address(2, i, BACKEND_PORT)
 }
 
 fn plain_name(i: usize) -> String {
@@ -529,10 +540,11 @@
 }
 
 fn plain_address(i: usize) -> SocketAddr {
-    address(2, i, PLAIN)
+    address(2, i, PLAIN_PORT)
 }
 
-/// A loopback address of this run; runs at the same time have addresses of their own.
+/// A loopback address derived from the process id, so that concurrent runs do not share addresses
+/// unless their ids differ by a multiple of 20,000.
 fn address(group: u8, i: usize, port: u16) -> SocketAddr {
     let run = std::process::id() % 250 + 1;
     let octet = |n: usize| u8::try_from(n).unwrap_or(u8::MAX);
@@ -541,8 +553,8 @@
     SocketAddr::from(([127, octet(run as usize), group, number], port))
 }
 
-/// A new folder for settings and logs.
-fn folder() -> Result<PathBuf, BenchError> {
+/// Creates the folder for the settings and logs of this run.
+fn create_run_folder() -> Result<PathBuf, BenchError> {
     let name = format!("gooseberry-bench-{}", std::process::id());
     let folder = std::env::temp_dir().join(name);
     std::fs::create_dir_all(&folder).map_err(|cause| BenchError::File {
@@ -552,15 +564,15 @@
     Ok(folder)
 }
 
-/// Waits until a process says that it is ready.
-async fn until_ready(admin: SocketAddr, name: &str) -> Result<(), BenchError> {
-    let deadline = Instant::now() + READY;
+/// Polls the readiness of a process; `name` names it in the error.
+async fn wait_until_ready(admin: SocketAddr, name: &str) -> Result<(), BenchError> {
+    let deadline = Instant::now() + READY_TIMEOUT;
     while Instant::now() < deadline {
-        let ready: Result<Value, _> = web::client::get(admin, "/v1/ready", CALL).await;
+        let ready: Result<Value, _> = web::client::get(admin, "/v1/ready", CALL_TIMEOUT).await;
         if ready.is_ok() {
             return Ok(());
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
     Err(BenchError::NotReady(name.to_owned()))
 }
--- a/crates/gooseberry-bench/src/soak.rs
+++ b/crates/gooseberry-bench/src/soak.rs
@@ -1,9 +1,11 @@
-//! `soak`: gateways on the users' platform under random faults from outside.
+//! `soak`: runs gateways on stand-ins of their platform under random faults.
 //!
-//! Real processes: a store, backend servers and gateways. Connections between them, and those of
-//! callers, pass through proxies that delay, reset, cut and silence them; processes are paused, killed,
-//! stopped and started by signals. What callers and backend servers see is checked while it runs and at
-//! the end. The same seed draws the same faults; their timing on the machine differs.
+//! Starts real processes: a store, backend servers and gateways. The connections of gateways to
+//! callers, backend servers and the store pass through proxies that delay, reset, block and stall
+//! them. Processes are suspended, killed, stopped and restarted. At the end of each seed, every
+//! gateway must serve each kind of request again, and the answers that callers received are checked
+//! against the requests that the backend servers recorded. The same seed draws the same faults, but
+//! their timing varies between runs.
 
 mod callers;
 mod faults;
@@ -23,49 +25,49 @@
 use judge::Finding;
 use site::{Shape, Site};
 
-/// The time without faults before the end, after which everything must be served again.
-const CALM: Duration = Duration::from_secs(5);
+/// The time without faults before the final requests, all of which must be served.
+const RECOVERY_TIME: Duration = Duration::from_secs(5);
 
-/// In one of so many seeds only planned work is done, under which nothing may be cut.
+/// One seed in this many draws only planned operations, during which no request may be interrupted.
 const PLANNED_EVERY: u64 = 4;
 
-/// Seeds that once had a finding, with its cause; `--regressions` runs them.
+/// Seeds that once had a finding, and its cause; `--regressions` runs them.
 const REGRESSIONS: [(u64, &str); 2] = [
     (
         136,
-        "a stopping host passed a request on after it had decided to end",
+        "a stopping host forwarded a request after it had decided to exit",
     ),
-    (148, "the same"),
+    (148, "the same cause as seed 136"),
 ];
 
-/// How the soak runs.
+/// Options of `soak`.
 #[derive(Clone, Debug, Bpaf)]
 pub(crate) struct Options {
     /// The first seed.
     #[bpaf(long, argument("N"), fallback(1))]
     seed: u64,
-    /// How many seeds are run, one after the other.
+    /// The number of successive seeds to run, one after the other.
     #[bpaf(long, argument("N"), fallback(1))]
     seeds: u64,
-    /// How long faults come in each, in seconds.
+    /// How long faults are injected for each seed, in seconds.
     #[bpaf(long, argument("N"), fallback(12))]
     seconds: u64,
-    /// The gateways.
+    /// The number of gateways.
     #[bpaf(long, argument("N"), fallback(3))]
     gateways: usize,
-    /// The engines; there are a third as many plain servers, two at least.
+    /// The number of engines; there are a third as many plain servers, at least two.
     #[bpaf(long, argument("N"), fallback(6))]
     engines: usize,
-    /// The callers.
+    /// The number of concurrent callers.
     #[bpaf(long, argument("N"), fallback(24))]
     callers: usize,
-    /// Run the seeds that once had a finding instead.
+    /// Run the seeds that once had a finding, instead of those from `--seed`.
     regressions: bool,
 }
 
-/// Runs the seeds; whether none has a finding.
+/// Runs the seeds; returns whether none has a finding.
 pub(crate) async fn run(options: Options) -> Result<bool, BenchError> {
-    let folder = build::programs().await?;
+    let programs = build::programs().await?;
     let mut failed = Vec::new();
     let seeds: Vec<u64> = if options.regressions {
         REGRESSIONS.iter().map(|(seed, _)| *seed).collect()
@@ -74,24 +76,24 @@
     };
     for seed in &seeds {
         let seed = *seed;
-        let findings = one(&folder, &options, seed).await?;
+        let findings = run_seed(&programs, &options, seed).await?;
         for finding in &findings {
             println!("seed {seed}: {finding}");
         }
         if !findings.is_empty() {
             if let Some((_, cause)) = REGRESSIONS.iter().find(|(s, _)| *s == seed) {
-                println!("seed {seed} failed before: {cause}");
+                println!("seed {seed} had a finding before: {cause}");
             }
             failed.push(seed);
         }
     }
-    println!("{} seeds, with findings: {failed:?}", seeds.len());
+    println!("{} seeds run, seeds with findings: {failed:?}", seeds.len());
     Ok(failed.is_empty())
 }
 
-/// Runs one seed.
-async fn one(
-    folder: &std::path::Path,
+/// Runs one seed and returns its findings.
+async fn run_seed(
+    programs: &std::path::Path,
     options: &Options,
     seed: u64,
 ) -> Result<Vec<Finding>, BenchError> {
@@ -101,7 +103,7 @@
         engines: options.engines,
         plain: (options.engines / 3).max(2),
     };
-    let mut site = Site::start(folder, seed, shape).await?;
+    let mut site = Site::start(programs, seed, shape).await?;
     let callers = Callers::start(&site, options.callers, seed);
     let end = tokio::time::Instant::now() + Duration::from_secs(options.seconds);
     let is_planned = seed.is_multiple_of(PLANNED_EVERY);
@@ -112,12 +114,12 @@
         let fault = Fault::draw(&mut rng, &shape, is_planned);
         println!("seed {seed}: {fault:?}");
         site.inject(&fault, &mut rng).await?;
-        site.revive()?;
+        site.restart_gateways()?;
         count += 1;
     }
     site.heal().await?;
-    tokio::time::sleep(CALM).await;
-    let mut findings = judge::recovered(&site, seed).await;
+    tokio::time::sleep(RECOVERY_TIME).await;
+    let mut findings = judge::check_recovery(&site, seed).await;
     let records = callers.stop().await;
     site.stop().await;
     findings.extend(judge::judge(&records, &site, is_planned));
--- a/crates/gooseberry-bench/src/soak/proxy.rs
+++ b/crates/gooseberry-bench/src/soak/proxy.rs
@@ -1,4 +1,5 @@
-//! A proxy on a loopback address whose connections can be delayed, reset, cut one way and silenced.
+//! A TCP proxy on a loopback address that can delay, reset, stall or block its connections, also in
+//! one direction only.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,35 +12,35 @@
 
 use crate::harness::BenchError;
 
-/// The bytes read at once.
-const PIECE: usize = 16 * 1024;
+/// Size of the buffer of each direction of a connection, in bytes.
+const BUFFER_BYTES: usize = 16 * 1024;
 
-/// What a proxy does to its connections.
+/// Disturbances that a proxy applies to its connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Mode {
-    /// How much later bytes arrive, in milliseconds.
+    /// Delay of each chunk of data in either direction, in milliseconds.
     pub(crate) delay_ms: u64,
-    /// Whether nothing passes to the target.
-    pub(crate) cuts_there: bool,
-    /// Whether nothing passes from the target.
-    pub(crate) cuts_back: bool,
-    /// Connections opened while this number was lower pass nothing more.
-    pub(crate) silences: u64,
-    /// Connections opened while this number was lower are reset.
-    pub(crate) resets: u64,
+    /// Whether data to the target is held back.
+    pub(crate) blocks_requests: bool,
+    /// Whether data from the target is held back.
+    pub(crate) blocks_answers: bool,
+    /// Raised by each stall; connections opened at a lower value forward nothing more.
+    pub(crate) stall_epoch: u64,
+    /// Raised by each reset; connections opened at a lower value are closed.
+    pub(crate) reset_epoch: u64,
 }
 
-/// A proxy; it ends when it is dropped.
+/// A running proxy; dropping it closes its connections.
 #[derive(Debug)]
 pub(crate) struct Proxy {
-    /// Where it listens.
+    /// Address on which it listens.
     pub(crate) addr: SocketAddr,
     mode: watch::Sender<Mode>,
     _tasks: JoinSet<()>,
 }
 
 impl Proxy {
-    /// Listens on `addr` and leads to `target`.
+    /// Listens on `addr` and forwards connections to `target`.
     pub(crate) async fn start(addr: SocketAddr, target: SocketAddr) -> Result<Self, BenchError> {
         let listener = TcpListener::bind(addr).await;
         let listener = listener.map_err(|cause| BenchError::Listen { addr, cause })?;
@@ -53,17 +54,17 @@
         })
     }
 
-    /// Changes what it does.
+    /// Changes the disturbances, also of open connections.
     pub(crate) fn change(&self, change: impl FnOnce(&mut Mode)) {
         self.mode.send_modify(change);
     }
 
-    /// Lets everything pass again; what was silenced or reset stays so.
+    /// Ends delays and blocks; connections that were stalled or reset stay so.
     pub(crate) fn heal(&self) {
         self.change(|m| {
             *m = Mode {
-                silences: m.silences,
-                resets: m.resets,
+                stall_epoch: m.stall_epoch,
+                reset_epoch: m.reset_epoch,
                 ..Mode::default()
             };
         });
@@ -76,46 +77,46 @@
         let Ok((stream, _)) = listener.accept().await else {
             continue;
         };
-        open.spawn(pass(stream, target, mode.subscribe()));
+        open.spawn(forward(stream, target, mode.subscribe()));
         while open.try_join_next().is_some() {}
     }
 }
 
-/// Passes on what both ends of one connection send, until one closes it or it is reset.
-async fn pass(near: TcpStream, target: SocketAddr, mode: watch::Receiver<Mode>) {
-    let opened = *mode.borrow();
-    // A target that does not listen shows as a connection closed at once.
+/// Forwards both directions of one connection until either end closes it or it is reset.
+async fn forward(near: TcpStream, target: SocketAddr, mode: watch::Receiver<Mode>) {
+    let at_open = *mode.borrow();
+    // If the target does not listen, the near connection closes at once.
     let Ok(far) = TcpStream::connect(target).await else {
         return;
     };
     for stream in [&near, &far] {
-        // Small pieces must not wait for acknowledgements; without the option they are only slower.
+        // Avoids that small chunks wait for acknowledgements. A failure only makes them slower.
         let _ = stream.set_nodelay(true);
     }
     let (near_read, near_write) = near.into_split();
     let (far_read, far_write) = far.into_split();
-    let mut resets = mode.clone();
+    let mut mode_changes = mode.clone();
     tokio::select! {
-        () = pump(near_read, far_write, mode.clone(), opened, |m| m.cuts_there) => {}
-        () = pump(far_read, near_write, mode, opened, |m| m.cuts_back) => {}
-        _ = resets.wait_for(|m| m.resets > opened.resets) => {}
+        () = pump(near_read, far_write, mode.clone(), at_open, |m| m.blocks_requests) => {}
+        () = pump(far_read, near_write, mode, at_open, |m| m.blocks_answers) => {}
+        _ = mode_changes.wait_for(|m| m.reset_epoch > at_open.reset_epoch) => {}
     }
 }
 
-/// Passes on what one end sends.
+/// Forwards one direction of a connection; while it is blocked, data that was read waits.
 async fn pump(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     mut mode: watch::Receiver<Mode>,
-    opened: Mode,
-    cuts: fn(&Mode) -> bool,
+    at_open: Mode,
+    is_blocked: fn(&Mode) -> bool,
 ) {
-    let mut piece = vec![0; PIECE];
+    let mut buffer = vec![0; BUFFER_BYTES];
     loop {
-        let Ok(count) = from.read(&mut piece).await else {
+        let Ok(count) = from.read(&mut buffer).await else {
             return;
         };
-        let passes = |m: &Mode| !cuts(m) && m.silences <= opened.silences;
+        let passes = |m: &Mode| !is_blocked(m) && m.stall_epoch <= at_open.stall_epoch;
         let delay = match mode.wait_for(passes).await {
             Ok(mode) => mode.delay_ms,
             Err(_) => return,
@@ -123,7 +124,7 @@
         if delay > 0 {
             tokio::time::sleep(Duration::from_millis(delay)).await;
         }
-        if count == 0 || to.write_all(&piece[..count]).await.is_err() {
+        if count == 0 || to.write_all(&buffer[..count]).await.is_err() {
             return;
         }
     }
