--- a/crates/base/src/hash.rs
+++ b/crates/base/src/hash.rs
@@ -9,7 +9,7 @@
 }
 
 /// A short name for `text` between hosts; of two texts that share one, neither may matter by itself.
-pub fn short(text: &str) -> u32 {
+pub fn short_hash(text: &str) -> u32 {
     stable(text.as_bytes()) as u32
 }
 
--- a/crates/base/src/id.rs
+++ b/crates/base/src/id.rs
@@ -158,7 +158,7 @@
 
 impl Epoch {
     /// The epoch with which `owner` takes over from this one.
-    pub fn succeed(self, owner: Incarnation) -> Self {
+    pub fn next_for(self, owner: Incarnation) -> Self {
         Self {
             round: self.round + 1,
             owner,
--- a/crates/base/src/traffic.rs
+++ b/crates/base/src/traffic.rs
@@ -18,12 +18,12 @@
 }
 
 /// Counts bytes that were sent.
-pub fn sent(bytes: &[u8]) {
+pub fn count_sent(bytes: &[u8]) {
     SENT.fetch_add(bytes.len() as u64, Ordering::Relaxed);
 }
 
 /// Counts bytes that were received.
-pub fn received(bytes: &[u8]) {
+pub fn count_received(bytes: &[u8]) {
     RECEIVED.fetch_add(bytes.len() as u64, Ordering::Relaxed);
 }
 
--- a/crates/gooseberry-gateway/src/fleet.rs
+++ b/crates/gooseberry-gateway/src/fleet.rs
@@ -5,7 +5,7 @@
 
 use balance::Health;
 use balance::place::{Candidate, Load, Need, PlaceRequest, place, shortlist};
-use base::hash::short;
+use base::hash::short_hash;
 use base::prelude::*;
 use base::sorted::Sorted;
 use membership::Roster;
@@ -228,7 +228,7 @@
         let found = fleet
             .roster
             .iter()
-            .find(|(id, _)| short(id.as_str()) == server_hash);
+            .find(|(id, _)| short_hash(id.as_str()) == server_hash);
         let Some((id, _)) = found else { return };
         let server_state = fleet.servers.entry(id.clone(), Server::default);
         if server_state.last_activity < at {
--- a/crates/gooseberry-gateway/src/gossip.rs
+++ b/crates/gooseberry-gateway/src/gossip.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use base::hash::short;
+use base::hash::short_hash;
 use base::prelude::*;
 use membership::gossip::{Message, Usage};
 use tokio::net::UdpSocket;
@@ -77,7 +77,7 @@
     for (name, budget) in ctx.budgets().iter_mut() {
         budget.begin_exchange();
         usage.push(Usage {
-            service: short(name.as_str()),
+            service: short_hash(name.as_str()),
             requests: budget.requests(now).map(saturating_u32),
             retries: saturating_u32(budget.retries(now)),
             waiting: u32::from(budget.waiting() > 0),
@@ -94,7 +94,7 @@
 fn apply_shared_usage(ctx: &Context, now: Millis) {
     let gossip = ctx.gossip();
     for (name, budget) in ctx.budgets().iter_mut() {
-        if let Some(shared) = gossip.shared_usage(now, short(name.as_str())) {
+        if let Some(shared) = gossip.shared_usage(now, short_hash(name.as_str())) {
             budget.finish_exchange(shared);
         }
     }
--- a/crates/gooseberry-gateway/src/liveness.rs
+++ b/crates/gooseberry-gateway/src/liveness.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use base::hash::short;
+use base::hash::short_hash;
 use base::prelude::*;
 
 use crate::context::Context;
@@ -43,7 +43,7 @@
 /// Records a server as unreachable and reports it to the other hosts.
 fn report_unreachable(ctx: &Context, id: &BackendId, now: Millis) {
     ctx.servers.record_unreachable(id, now);
-    ctx.gossip().server_failed(now, short(id.as_str()));
+    ctx.gossip().server_failed(now, short_hash(id.as_str()));
     ctx.wake_gossip.notify_one();
 }
 
--- a/crates/gooseberry-router/src/completions.rs
+++ b/crates/gooseberry-router/src/completions.rs
@@ -131,7 +131,7 @@
     /// Takes ownership of the request; no other router can own one whose key was minted here.
     async fn claim(&self, router: &Arc<Router>, digest: u64) -> Result<Ownership, CallerError> {
         if self.is_minted {
-            let epoch = Epoch::default().succeed(router.incarnation);
+            let epoch = Epoch::default().next_for(router.incarnation);
             return Ok(takeover::new_generation(epoch, digest));
         }
         takeover::claim(router, &self.key, digest, self.position).await
--- a/crates/gooseberry-router/src/drive.rs
+++ b/crates/gooseberry-router/src/drive.rs
@@ -300,7 +300,7 @@
     /// Starts a new generation under a higher epoch, so that the old journal is not continued.
     fn restart(&mut self) {
         let now = self.router.timer.now();
-        self.epoch = self.epoch.succeed(self.router.incarnation);
+        self.epoch = self.epoch.next_for(self.router.incarnation);
         let segment = Segment {
             generation: GenerationId(rand::random()),
             start: Offset(0),
--- a/crates/gooseberry-router/src/takeover.rs
+++ b/crates/gooseberry-router/src/takeover.rs
@@ -86,7 +86,7 @@
 ) -> Result<Ownership, CallerError> {
     let mut highest = router.journals.fence(key).unwrap_or_default();
     for _ in 0..MAX_ROUNDS {
-        let epoch = highest.succeed(router.incarnation);
+        let epoch = highest.next_for(router.incarnation);
         let results = seal_all(router, key, epoch, digest, position).await?;
         match results.higher {
             Some(higher) => highest = highest.max(higher),
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -61,8 +61,8 @@
 pub(crate) fn frames(stream: TcpStream) -> Frames {
     // Without this, small frames wait for the peer's delayed acknowledgement.
     let _ = stream.set_nodelay(true);
-    let written: InspectWriter<_, fn(&[u8])> = InspectWriter::new(stream, traffic::sent);
-    let counted: Counted = InspectReader::new(written, traffic::received);
+    let written: InspectWriter<_, fn(&[u8])> = InspectWriter::new(stream, traffic::count_sent);
+    let counted: Counted = InspectReader::new(written, traffic::count_received);
     let codec = LengthDelimitedCodec::builder()
         .max_frame_length(MAX_MESSAGE_BYTES)
         .new_codec();
--- a/crates/web/src/client.rs
+++ b/crates/web/src/client.rs
@@ -115,8 +115,8 @@
 type CountedStream = InspectReader<InspectWriter<TcpStream, fn(&[u8])>, fn(&[u8])>;
 
 fn count_bytes(stream: TcpStream) -> CountedStream {
-    let written: InspectWriter<_, fn(&[u8])> = InspectWriter::new(stream, traffic::sent);
-    InspectReader::new(written, traffic::received)
+    let written: InspectWriter<_, fn(&[u8])> = InspectWriter::new(stream, traffic::count_sent);
+    InspectReader::new(written, traffic::count_received)
 }
 
 /// Sends `body` as JSON and decodes the JSON response; `limit` covers the whole call.
