--- a/crates/base/src/id.rs
+++ b/crates/base/src/id.rs
@@ -1,4 +1,4 @@
-//! Names and numbers that identify the parts of the system.
+//! Typed names and numbers that identify hosts, servers, requests, generations and versions.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Declares a name held as a string.
+/// Declares a newtype around a string, serialized as the plain string.
 macro_rules! name {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
@@ -15,7 +15,7 @@
         pub struct $name(pub String);
 
         impl $name {
-            /// Borrows the name.
+            /// The name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -35,7 +35,7 @@
     };
 }
 
-/// Declares a number held as 64 bits.
+/// Declares a newtype around a `u64`, serialized as the plain number.
 macro_rules! number {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
@@ -61,58 +61,61 @@
 }
 
 name!(
-    /// An entry host of the system.
+    /// Name of an entry host, which accepts callers' requests.
     HostId
 );
 name!(
-    /// A data centre, as `vn-south-a`.
+    /// Name of a data centre, such as `vn-south-a`.
     DataCentre
 );
 name!(
-    /// A backend server: a model engine or an instance of a plain service.
+    /// Id of a backend server: a model engine or an instance of a plain service.
     BackendId
 );
 name!(
-    /// A service that callers reach, as `draft-model`.
+    /// Name of a service that callers can call, such as `draft-model`.
     ServiceName
 );
 name!(
-    /// A workspace: the unit to which requests are attributed and limited.
+    /// Name of a workspace: the unit by which requests are attributed and limited.
     WorkspaceName
 );
 name!(
-    /// A profile: the declared needs of a class of work.
+    /// Name of a profile: quality-of-service settings shared by services with the same needs.
     ProfileName
 );
 name!(
-    /// The key under which a caller may repeat a request.
+    /// Identifies a request across retries: `<workspace>/<idempotency key>` for completions,
+    /// `<service>/<workspace>/<idempotency key>` for calls of plain services.
     RequestKey
 );
 name!(
-    /// An operator's attempt to change the configuration, drawn at random.
+    /// Random id of an operator's proposal to change the configuration; its retries carry the same id.
     OperationId
 );
 
 number!(
-    /// One life of a process, drawn at random when it starts.
+    /// Number drawn at random when a process starts, which distinguishes it from earlier runs.
     Incarnation
 );
 number!(
-    /// The number of an engine stream within a generation, counted from 1.
+    /// Number of an engine stream within a generation, counted from 1.
     Attempt
 );
 number!(
-    /// The position of a token within a generation, counted from 0.
+    /// Position of a token in the output of a request, counted from 0; as a length, a number of tokens.
     Offset
 );
 number!(
-    /// The version of the configuration, counted from 1.
+    /// Version of the configuration, counted from 1; 0 before the first accepted change.
     Version
 );
 
-/// The identity of one sequence of tokens, unique over data centres.
+/// Random id of a generation, unique across data centres.
 ///
-/// Written as 16 hexadecimal digits.
+/// A generation is one sequence of tokens. A new one begins when the output is generated again from
+/// the first token, and at a takeover from an owner that may still be active.
+/// Displayed and serialized as 16 hexadecimal digits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct GenerationId(pub u64);
 
@@ -143,21 +146,22 @@
     }
 }
 
-/// The ownership of a request: the higher epoch wins.
+/// Ownership of a request by a router; the router with the higher epoch wins.
 ///
-/// A takeover raises `round`; `owner` breaks ties between routers that take over at once.
+/// Epochs are compared by `round`, then by `owner`, which breaks the tie between routers that take
+/// over at the same time. Displayed as `<round>/<owner>`, with `owner` in hexadecimal.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Epoch {
-    /// How many times ownership has changed.
+    /// Incremented by each takeover, and when the owner starts a new generation; 0 if there is no owner.
     pub round: u64,
-    /// The incarnation of the owning router.
+    /// Incarnation of the owning router.
     pub owner: Incarnation,
 }
 
 impl Epoch {
-    /// The epoch with which `owner` takes over from this one.
+    /// The epoch under which `owner` takes ownership after this one.
     pub fn next_for(self, owner: Incarnation) -> Self {
         Self {
             round: self.round + 1,
--- a/crates/base/src/lib.rs
+++ b/crates/base/src/lib.rs
@@ -1,6 +1,6 @@
-//! Identifiers, units and the tokens that every other crate speaks of.
+//! Identifiers, time, tokens, hashes and a sorted map, shared by all other crates.
 //!
-//! The crate knows nothing of I/O, clocks or settings.
+//! Nothing here performs I/O, reads a clock or depends on settings.
 
 pub mod hash;
 pub mod id;
--- a/crates/base/src/model.rs
+++ b/crates/base/src/model.rs
@@ -4,15 +4,16 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A model, with the version and adapter that decide its output.
+/// A model, identified by all that determines its output; displayed as
+/// `<name>@<version>`, followed by `+<adapter>` if it has one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
-    /// The name of the model.
+    /// Name, without version and adapter.
     pub name: String,
-    /// The version of the weights.
+    /// Version of the weights.
     pub version: String,
-    /// The adapter, if any.
+    /// Name of the adapter applied to the weights; `None` for the weights alone.
     #[serde(default)]
     pub adapter: Option<String>,
 }
@@ -27,7 +28,7 @@
     }
 }
 
-/// What an engine is used for.
+/// Phases of generation that an engine runs.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/crates/base/src/prelude.rs
+++ b/crates/base/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The types that almost every module needs.
+//! Types that most modules of the other crates import.
 
 pub use crate::id::{
     Attempt, BackendId, DataCentre, Epoch, GenerationId, HostId, Incarnation, Offset, OperationId,
--- a/crates/base/src/sorted.rs
+++ b/crates/base/src/sorted.rs
@@ -1,8 +1,8 @@
-//! A sorted vector searched by key.
+//! A map in a sorted vector.
 
 use serde::{Deserialize, Serialize};
 
-/// Entries ordered by key, found by binary search.
+/// Map whose entries are kept ordered by key in one vector and found by binary search.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sorted<K, V> {
     entries: Vec<(K, V)>,
@@ -17,12 +17,12 @@
 }
 
 impl<K: Ord, V> Sorted<K, V> {
-    /// The value at `key`.
+    /// The value of `key`; `None` if absent.
     pub fn get(&self, key: &K) -> Option<&V> {
         self.find(key).ok().map(|i| &self.entries[i].1)
     }
 
-    /// The value at `key`, to change in place.
+    /// The value of `key`, to change in place; `None` if absent.
     pub fn get_mut(&mut self, key: &K) -> Option<&mut V> {
         match self.find(key) {
             Ok(i) => Some(&mut self.entries[i].1),
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The value at `key`, made by `make` if absent.
+    /// The value of `key`; inserts the result of `make` if absent.
     pub fn entry(&mut self, key: K, make: impl FnOnce() -> V) -> &mut V {
         let i = match self.find(&key) {
             Ok(i) => i,
@@ -42,7 +42,7 @@
         &mut self.entries[i].1
     }
 
-    /// Puts `value` at `key` and returns the value that it replaces.
+    /// Sets the value of `key` and returns the replaced value, if any.
     pub fn insert(&mut self, key: K, value: V) -> Option<V> {
         match self.find(&key) {
             Ok(i) => Some(std::mem::replace(&mut self.entries[i].1, value)),
@@ -53,36 +53,37 @@
         }
     }
 
-    /// Takes the entry at `key` out.
+    /// Removes `key` and returns its value; `None` if absent.
     pub fn remove(&mut self, key: &K) -> Option<V> {
         self.find(key).ok().map(|i| self.entries.remove(i).1)
     }
 
-    /// Keeps the entries for which `keep` holds.
+    /// Removes the entries for which `keep` returns false.
     pub fn retain(&mut self, mut keep: impl FnMut(&K, &mut V) -> bool) {
         self.entries.retain_mut(|(k, v)| keep(k, v));
     }
 
-    /// The entries in order of key.
+    /// The entries, ordered by key.
     pub fn iter(&self) -> impl Iterator<Item = (&K, &V)> {
         self.entries.iter().map(|(k, v)| (k, v))
     }
 
-    /// The entries in order of key, with values to change in place.
+    /// The entries, ordered by key, with values to change in place.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (&K, &mut V)> {
         self.entries.iter_mut().map(|(k, v)| (&*k, v))
     }
 
-    /// How many entries there are.
+    /// Number of entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
+    /// Index of `key`, or the index at which to insert it.
     fn find(&self, key: &K) -> Result<usize, usize> {
         self.entries.binary_search_by(|(k, _)| k.cmp(key))
     }
--- a/crates/base/src/time.rs
+++ b/crates/base/src/time.rs
@@ -6,7 +6,10 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A point on a process's monotonic clock, or a span of it, in milliseconds.
+/// A point on a process's monotonic clock, or a span of time, in milliseconds.
+///
+/// Each process counts from its own start, so points of two processes cannot be compared. Addition
+/// and subtraction saturate.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -14,15 +17,15 @@
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// The latest point in time, used for "never".
+    /// The latest point in time, which stands for "never"; adding a span leaves it as it is.
     pub const MAX: Self = Self(u64::MAX);
 
-    /// The span since `earlier`, or zero if `earlier` is in the future.
+    /// The span since `earlier`, or zero if `earlier` is later than `self`.
     pub fn since(self, earlier: Self) -> Self {
         Self(self.0.saturating_sub(earlier.0))
     }
 
-    /// The span as a standard duration.
+    /// The span as a [`Duration`].
     pub fn duration(self) -> Duration {
         Duration::from_millis(self.0)
     }
