--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -62,8 +62,8 @@
 pub(crate) fn frames(stream: TcpStream) -> Frames {
     // With Nagle's algorithm, small frames would wait for the peer's delayed acknowledgement.
     let _ = stream.set_nodelay(true);
-    let written: InspectWriter<_, fn(&[u8])> = InspectWriter::new(stream, traffic::sent);
-    let counted: CountedStream = InspectReader::new(written, traffic::received);
+    let written: InspectWriter<_, fn(&[u8])> = InspectWriter::new(stream, traffic::count_sent);
+    let counted: CountedStream = InspectReader::new(written, traffic::count_received);
     let codec = LengthDelimitedCodec::builder()
         .max_frame_length(MAX_MESSAGE_BYTES)
         .new_codec();
