--- a/crates/relay/src/outcome.rs
+++ b/crates/relay/src/outcome.rs
@@ -64,8 +64,8 @@
 /// Largest number of times the backoff doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
-/// Part of a caller's time limit, in percent, after which a request is no longer retried: the rest is needed
-/// to serve it.
+/// Part of a caller's time limit, in percent, counted from the arrival of the request. After it a request no
+/// longer waits for the retry budget and is not retried with backoff after a rejection.
 const RETRY_CUTOFF_PERCENT: u64 = 60;
 
 /// Longest wait for the retry budget: a fifth of the deployment's window of 10 s, in which a fifth of the
